--- a/merlintally/choice.py
+++ b/merlintally/choice.py
@@ -20,26 +20,48 @@
 from merlintally.ring import Ring, SampleRing
 from merlintally.slow_start import SlowStart
 
-FOLD, FOLDS, FIT = 0.4, 5, 0.25  # seconds a bucket of the smoothers, how many, and seconds between all sums
-SOFT, TELL = 2.0, 0.2  # total quota over reserved where more earns; part of the store all may leave untold
-HEAR, STALE = 0.3, 2.0  # seconds for which the counter's answer is news; unseen, until one is not fitted
+USAGE_BUCKET_S = 0.4
+USAGE_BUCKET_COUNT = 5
+RECOMPUTE_INTERVAL_S = 0.25
+SOFT_TARGET_FACTOR = 2.0  # total quota over reserved where more earns
+UNREPORTED_SHARE = 0.2  # part of the store all may leave untold
+UPDATE_FRESH_S = 0.3  # seconds for which the counter's answer is news
+STALE_AFTER_S = 2.0  # unseen, until one is not fitted
 FIRST_GUESS = 10  # answers for which the guess of a lane's answer time counts
 KEEP = 60.0  # seconds of an epoch: a count is kept by name for as long
 RIGHT = 1.0  # bursts that a count may lie below nothing drawn until it is put right
-PACE, CROWDED = 300.0, 0.5  # counter calls a second of all gateways at first; time-outs from which it is slow
-PACES = (0.7, 0.9, 1.1, 0.3)  # factors when a call fails, is slow, is quick; part of it regained a second
-NOTES, SILENT = (0.05, 60.0), (1.0, 10.0)  # seconds between, most heard a second; until one is unheard, gone
-EASY, SATURATED, BAD = 1.35, 1.6, 8.0  # answer times over the floor: room for more, saturated, not of all
-FIRST_PLACES, LEAST_PLACES = 3.0, 0.25  # at each server for all gateways together; the part always left
-FEW, FAMILIAR = 4, 5.0  # servers compared at the least; seconds for which an answer makes one known
-HEADROOM, GROWTH = 1.0, 0.2  # roots of the places to pass them by; of the first, gained with an easy answer
+PACE = 300.0  # counter calls a second of all gateways at first
+SLOW_ANSWER_SHARE = 0.5  # time-outs from which it is slow
+RATE_FACTOR_FAILED = 0.7
+RATE_FACTOR_SLOW = 0.9
+RATE_FACTOR_QUICK = 1.1
+RATE_RECOVERY_PER_S = 0.3
+NOTE_MIN_INTERVAL_S = 0.05
+MAX_NOTES_PER_S = 60.0
+NOTES = (NOTE_MIN_INTERVAL_S, MAX_NOTES_PER_S)  # read by place in the laboratory
+PEER_SILENT_AFTER_S = 1.0
+PEER_GONE_AFTER_S = 10.0
+EASY_LOAD_RATIO = 1.35
+SATURATED = 1.6
+MAX_LOAD_RATIO = 8.0
+INITIAL_CONCURRENCY = 3.0  # at each server for all gateways together
+MIN_CONCURRENCY_SHARE = 0.25  # the part always left
+MIN_CANDIDATES = 4  # servers compared at the least
+FAMILIAR = 5.0  # seconds for which an answer makes one known
+HEADROOM_FACTOR = 1.0  # roots of the places to pass them by
+CONCURRENCY_GROWTH = 0.2  # of the first, gained with an easy answer
 JUDGED = 0.8  # the quantile of answer times by which servers are compared
-CREDIT = (2.0, 0.12)  # further executions a server may get: at most, and earned with each good answer
+MAX_RETRY_CREDIT = 2.0
+RETRY_CREDIT_PER_ANSWER = 0.12
 PATIENCE = 15.0  # mean answer times, divided by how slow the server is found, until an execution is timed out
-EMPTY = (0.25, 8.0)  # weight of one first news in the share that tells of empty stores; what that takes off
-LOOKED_AT, MARGIN = 16, 0.03  # pieces passed over in a line; seconds before a hard limit without a new one
+EMPTY_SHARE_WEIGHT = 0.25  # weight of one first news in the share that tells of empty stores
+EMPTY_SHARE_PENALTY = 8.0  # what that takes off
+MAX_SKIPPED = 16  # pieces passed over in a line
+DEADLINE_MARGIN_S = 0.03  # before a hard limit without a new one
 HELD_UP = 0.15  # seconds for which a node may stand between reading its clock and writing, by the operators
-TICK = (0.03, 0.1, 0.5)  # seconds between wake-ups while anything waits, while submissions are open, and else
+WAKE_WAITING_S = 0.03
+WAKE_OPEN_S = 0.1
+WAKE_IDLE_S = 0.5
 LOST = 0.25  # seconds after its time from which a wake-up counts as lost, and another is set
 NO_QUOTA = PlanFacts("", 0, 0, 0, 0, 0, 0, 0, 0, 0)  # of plans never stated: nothing is let in
 
@@ -80,7 +102,10 @@
         self.fresh, self.told = 0.0, 0.0  # units of whole submissions: not yet in an add, and in the last one
         self.out, self.name, self.total = 0, 0, 0.0  # the count last added to, what it was then; 0: unknown
         self.waiting: list[Submission] = []  # for the answer that is on its way
-        self.requests, self.units = Ring(FOLD, FOLDS), Ring(FOLD, FOLDS)
+        self.requests, self.units = (
+            Ring(USAGE_BUCKET_S, USAGE_BUCKET_COUNT),
+            Ring(USAGE_BUCKET_S, USAGE_BUCKET_COUNT),
+        )
         self.common, self.granted = plan.rate / self.gateways, max(plan.burst / self.gateways, 1.0)
         # Guards restarts: a part of the ceiling fills from empty since this gateway's start.
         self.part_rate, self.part_depth = plan.ceiling_rate / gateways, plan.ceiling_burst / gateways
@@ -92,7 +117,9 @@
 
     @property
     def target(self) -> float:
-        return max(self.plan.rate, min(self.plan.rate * (SOFT if self.soft else 1.0), self.limiting))
+        return max(
+            self.plan.rate, min(self.plan.rate * (SOFT_TARGET_FACTOR if self.soft else 1.0), self.limiting)
+        )
 
     def advance(self, now: float) -> None:
         passed, self.at = max(0.0, now - self.at), now
@@ -112,9 +139,9 @@
             return self.plan.open_limit > 0
         if now - self.heard >= KEEP and self.gateways > 1:
             return self.granted >= min(units, self.average_cost)
-        age = NOTES[0] if self.sure else now - self.heard
-        unseen = 0.0 if self.granted >= units else self.others * min(age, HEAR)
-        return self.store >= units + unseen or (self.granted >= units and age > HEAR)
+        age = NOTE_MIN_INTERVAL_S if self.sure else now - self.heard
+        unseen = 0.0 if self.granted >= units else self.others * min(age, UPDATE_FRESH_S)
+        return self.store >= units + unseen or (self.granted >= units and age > UPDATE_FRESH_S)
 
     def draw(self, units: float, now: float) -> None:
         self.seen, self.granted = now, max(0.0, self.granted - units)
@@ -154,7 +181,9 @@
         """Whether what was last heard decides: it is news, or others could not have changed that since."""
         age, could = now - self.heard, self.plan.rate * (now - self.heard)
         clear = age < KEEP and (self.spare - units >= could or self.spare + could < units)
-        return clear or age < (KEEP if self.sure else HEAR) or self.gateways < 2 or self.plan.rate <= 0
+        return (
+            clear or age < (KEEP if self.sure else UPDATE_FRESH_S) or self.gateways < 2 or self.plan.rate <= 0
+        )
 
     def epoch(self, now: float) -> tuple[int, float]:
         """The name of the count that holds now, and for how long it has; each epoch has one of its own."""
@@ -168,7 +197,9 @@
         # Guards against hundreds of gateways that each let one more in by their credit, where it is empty.
         self.granted = min(self.granted, max(burst / self.gateways, self.common * 0.5))
         level, self.heard = total - self.plan.rate * self.epoch(now)[1], now
-        lacking = burst - self.store if since < STALE else min(added, burst - self.store)  # old: no debt
+        lacking = (
+            burst - self.store if since < STALE_AFTER_S else min(added, burst - self.store)
+        )  # old: no debt
         if added > 0 and total <= added * 1.000001:  # guards against one begun anew: put at what is known
             self.untold, self.total = self.untold + lacking - level, 0.0
             return
@@ -186,7 +217,7 @@
         self.advance(now)
         unseen, full = now - self.seen, self.store >= self.plan.burst
         filled = self.part >= self.part_depth  # else a ceiling would begin anew with more than is left of it
-        return filled and not self.out and self.asked is None and unseen > (STALE if full else KEEP)
+        return filled and not self.out and self.asked is None and unseen > (STALE_AFTER_S if full else KEEP)
 
 
 class AppServer:
@@ -198,7 +229,7 @@
 
     def renew(self, facts: ServerFacts) -> None:
         self.presence, self.started = facts.presence, facts.started
-        self.places, self.ratio, self.slow, self.credit = self.first_places, 1.0, 1.0, CREDIT[0]
+        self.places, self.ratio, self.slow, self.credit = self.first_places, 1.0, 1.0, MAX_RETRY_CREDIT
         self.failing = self.usual = self.resume = self.waiting = 0.0  # usual: what most fellows fail, too
         self.waiting_at, self.answered_at = -1.0, -1.0
         self.samples, self.cost, self.spare = SampleRing(1.0, 6), dict[str, float](), 0
@@ -241,19 +272,19 @@
             self.ratio += (relative - self.ratio) * min(0.4, max(0.12, (now - self.answered_at) / 12))
             self.answered_at = now
             if (strain or self.ratio) > SATURATED:
-                self.places = max(LEAST_PLACES * self.first_places, self.places * 0.94)
+                self.places = max(MIN_CONCURRENCY_SHARE * self.first_places, self.places * 0.94)
         if outcome == "ok":
             lane.learn(elapsed, units)
-            self.credit = min(CREDIT[0], self.credit + CREDIT[1])
+            self.credit = min(MAX_RETRY_CREDIT, self.credit + RETRY_CREDIT_PER_ANSWER)
             self.failing *= 0.8
-            if (strain or self.ratio) < EASY and len(self.out) + 1 >= int(self.places):
+            if (strain or self.ratio) < EASY_LOAD_RATIO and len(self.out) + 1 >= int(self.places):
                 self.places += growth
         elif outcome in ("error", "broken", "unreachable"):
             self.failing += (1 - self.failing) * 0.25
             self.resume = now + 2 * over if (over := self.failing - self.usual) > 0.3 else self.resume
         elif outcome == "full":
             self.resume, self.ratio = max(self.resume, now + 0.1), self.ratio * 1.05
-            self.places = max(LEAST_PLACES * self.first_places, self.places * 0.7)
+            self.places = max(MIN_CONCURRENCY_SHARE * self.first_places, self.places * 0.7)
 
 
 class Execution(NamedTuple):
@@ -279,7 +310,7 @@
         time_left: float,
     ) -> None:
         self.gateway, self.id, self.lane, self.customer = gateway, submission, lane, customer
-        self.units, self.count, self.taken, self.ends = units, 0, now, now + time_left - MARGIN
+        self.units, self.count, self.taken, self.ends = units, 0, now, now + time_left - DEADLINE_MARGIN_S
         self.useful = min(now + lane.quoted_time - min(2 * lane.mean, 0.6 * lane.quoted_time), self.ends)
         self.out: dict[int, AppServer] = {}
         self.risky: dict[int, Execution] = {}  # those that may have run, or may be running
@@ -307,9 +338,11 @@
         self.customer.out -= 1
         gateway.answers, gateway.out, units = gateway.answers + 1, gateway.out - 1, actual or self.units
         if outcome in ("ok", "timed_out"):
-            gateway.strain += (min(BAD, self.lane.relative(elapsed, units)) - gateway.strain) * 0.12
+            gateway.strain += (
+                min(MAX_LOAD_RATIO, self.lane.relative(elapsed, units)) - gateway.strain
+            ) * 0.12
         scarce, waits = gateway.scarcity(now), any(gateway.lines.values())
-        growth = GROWTH * server.first_places / math.sqrt(1 - scarce) if waits else 0.0
+        growth = CONCURRENCY_GROWTH * server.first_places / math.sqrt(1 - scarce) if waits else 0.0
         strain = gateway.strain if scarce else None
         server.answered(now, self.lane, outcome, elapsed, units, report, growth, strain)
         gateway.good.add(now, float(outcome == "ok"))
@@ -346,7 +379,7 @@
         first = min((one.sent for at, one in self.risky.items() if at < number), default=None)
         if first is None or self.lane.effect != "stamped":
             return self.ends
-        return min(self.ends, first + self.lane.remembered - HELD_UP - MARGIN)
+        return min(self.ends, first + self.lane.remembered - HELD_UP - DEADLINE_MARGIN_S)
 
 
 class Gateway:
@@ -366,14 +399,18 @@
         order = [*sorted(self.lanes.values(), key=lambda lane: -lane.gain), self.last]
         self.lines = {lane: deque[Submission]() for lane in order}  # served in this order
         self.pulls, self.good, self.alarm, self.results = Ring(0.25, 6), Ring(1.0, 10), 0.0, Results()
-        self.pace, self.calls, self.crowded = PACE / facts.gateways, 1.0, CROWDED * facts.count_time_out
+        self.pace, self.calls, self.crowded = (
+            PACE / facts.gateways,
+            1.0,
+            SLOW_ANSWER_SHARE * facts.count_time_out,
+        )
         self.answers, self.out, self.strain, self.worth, self.worth_at = 0, 0, 1.0, 1.0, -1.0
         self.started = self.paced_at = self.fitted = self.swept = now
         self.wall_shift = 0.0
         others, self.peers = facts.gateways - 1, dict[int, float]()  # when each was last heard
         self.sharing = facts.gateways  # how many of them send to one server
         self.noting = facts.may_note and 0 < facts.note_price * others * ROW.size / 256 < facts.count_price
-        self.note_every, self.noted_at = max(NOTES[0], others / NOTES[1]), now
+        self.note_every, self.noted_at = max(NOTE_MIN_INTERVAL_S, others / MAX_NOTES_PER_S), now
 
     def take(
         self,
@@ -395,13 +432,13 @@
             self.marks[customer.mark] = customer
             # Guards against hundreds of gateways that each let one in unasked where use beyond costs: the
             # more first news tell of empty stores, the fewer, down to the even part.
-            likely = max(plan.burst / gateways, 1 - EMPTY[1] * self.empty.get(plan_name, 0.0))
+            likely = max(plan.burst / gateways, 1 - EMPTY_SHARE_PENALTY * self.empty.get(plan_name, 0.0))
             if not customer.soft and self.random.random() >= likely:
                 customer.granted = plan.burst / gateways
         customer.sure = self._hears_all(now)
         handle = Submission(self, submission, lane, customer, units, now, time_left)
         self.open[submission] = handle
-        if time_left <= MARGIN:
+        if time_left <= DEADLINE_MARGIN_S:
             self.finish(now, handle, Refusal.NO_TIME)
         elif not self._ask(now, handle):
             self._decide(now, handle)
@@ -425,7 +462,7 @@
         for server in self.servers.values() if complete else ():
             server.presence = "gone"
         for entry in entries:
-            one = self.servers.setdefault(entry.server, AppServer(entry, FIRST_PLACES / self.sharing))
+            one = self.servers.setdefault(entry.server, AppServer(entry, INITIAL_CONCURRENCY / self.sharing))
             if entry.started > one.started:
                 one.renew(entry)
             one.presence, one.zone, one.cell, one.size = entry.presence, entry.zone, entry.cell, entry.size
@@ -445,10 +482,12 @@
             customer.news(total, added, now)
             if first:
                 empty = self.empty.get(customer.plan.name, 0.0)
-                self.empty[customer.plan.name] = empty + ((customer.spare < 0) - empty) * EMPTY[0]
-            self.pace = min(PACE, self.pace * (PACES[1] if elapsed > self.crowded else PACES[2]))
+                self.empty[customer.plan.name] = empty + ((customer.spare < 0) - empty) * EMPTY_SHARE_WEIGHT
+            self.pace = min(
+                PACE, self.pace * (RATE_FACTOR_SLOW if elapsed > self.crowded else RATE_FACTOR_QUICK)
+            )
         else:  # an add without an answer may have counted and is not told again
-            self.pace *= PACES[0] if outcome != "timed_out" or elapsed > self.crowded else 1
+            self.pace *= RATE_FACTOR_FAILED if outcome != "timed_out" or elapsed > self.crowded else 1
             customer.untold += added if outcome != "timed_out" else 0.0
         waiting, customer.waiting = customer.waiting, []
         sent = customer.told - sum(one.units for one in waiting if one.drawn)
@@ -481,19 +520,19 @@
 
     def _hears_all(self, now: float) -> bool:
         """Whether each of the others that is there has told something lately: little is drawn unseen."""
-        ages = [now - at for at in self.peers.values() if now - at < SILENT[1]]
-        return self.noting and 0 <= max(ages, default=-1.0) < SILENT[0]
+        ages = [now - at for at in self.peers.values() if now - at < PEER_GONE_AFTER_S]
+        return self.noting and 0 <= max(ages, default=-1.0) < PEER_SILENT_AFTER_S
 
     def wake(self, now: float) -> None:
         if now < self.alarm - 0.0005:
             return  # an earlier alarm took this one's place
         self.alarm = 0.0
-        if now - self.fitted >= FIT * (1 if self.answers > len(self.servers) / 4 else 4):
+        if now - self.fitted >= RECOMPUTE_INTERVAL_S * (1 if self.answers > len(self.servers) / 4 else 4):
             self.fitted, self.answers = now, 0
             self._judge(now)
             self._limit(now)
             for customer in self.customers.values():
-                if now - customer.seen < STALE:
+                if now - customer.seen < STALE_AFTER_S:
                     customer.fit(now)
         if now - self.swept >= KEEP / 8:
             self.swept = now
@@ -508,11 +547,11 @@
     def take_results(self, now: float) -> Results:
         """What is to be done since the last time; always leaves a wake-up set, soon while something waits."""
         due = self.noting and now - self.noted_at >= self.note_every
-        if due and ((note := told(self.customers.values())) or now - self.noted_at > SILENT[0] / 2):
+        if due and ((note := told(self.customers.values())) or now - self.noted_at > PEER_SILENT_AFTER_S / 2):
             self.results.notes.append(note)  # where empty it tells that this gateway is here
             self.noted_at = now
         soon = any(self.lines.values()) or self.asking
-        after = TICK[0] if soon else TICK[1] if self.open else TICK[2]
+        after = WAKE_WAITING_S if soon else WAKE_OPEN_S if self.open else WAKE_IDLE_S
         lost = now - self.alarm > LOST  # guards against none for good, where one was passed over as too early
         if not self.alarm or lost or now + after < self.alarm - 0.0005:
             self.alarm, self.results.wake_after = now + after, after
@@ -566,7 +605,7 @@
     def _tell(self, now: float, customer: Customer, urgent: bool = False) -> None:
         free = self.facts.may_count and customer.asked is None and customer.gateways > 1
         cost = customer.average_cost
-        least = min(TELL * max(customer.store, cost) / customer.gateways, cost / 2)
+        least = min(UNREPORTED_SHARE * max(customer.store, cost) / customer.gateways, cost / 2)
         if free and abs(customer.untold) >= least and (urgent or self._may_call(now, True)):
             self._call(now, customer)
 
@@ -574,7 +613,7 @@
         """Pace and calls out follow the answers: where slow, they pile up. Telling leaves one to ask."""
         passed, self.paced_at = now - self.paced_at, now
         if self.pace < (part := PACE / self.facts.gateways):  # failures must not bring it to nothing
-            self.pace = min(part, self.pace + PACES[3] * part * passed)
+            self.pace = min(part, self.pace + RATE_RECOVERY_PER_S * part * passed)
         self.calls = min(self.pace * 0.25 + 2, self.calls + passed * self.pace)
         return self.calls >= 1 + telling and len(self.asking) < 1 + self.pace * self.crowded / 2
 
@@ -628,13 +667,13 @@
     def scarcity(self, now: float) -> float:
         """How far places fall short of one a server: near 1 with hundreds of gateways, 0 with few."""
         each = self.places(now) / max(1, len(self.servers))
-        return max(0.0, 1 - max(FIRST_PLACES / self.sharing, each))
+        return max(0.0, 1 - max(INITIAL_CONCURRENCY / self.sharing, each))
 
     def allowed(self, now: float) -> float:
         """How many executions may be out: scarce places get a headroom for chance, and give way to strain."""
         places, scarce = self.places(now), self.scarcity(now)
         strained = float(max(1.0, self.strain / SATURATED) ** (2 * scarce))
-        return max(1.0, (places + HEADROOM * scarce * math.sqrt(places)) / strained)
+        return max(1.0, (places + HEADROOM_FACTOR * scarce * math.sqrt(places)) / strained)
 
     def pull(self, now: float) -> None:
         if not any(self.lines.values()):
@@ -643,7 +682,7 @@
         free = [server for server in self.servers.values() if server.has_place(now)] if room >= 0.5 else []
         for queue in self.lines.values():
             kept: list[Submission] = []
-            while queue and len(kept) < LOOKED_AT and room >= 0.5 and free:
+            while queue and len(kept) < MAX_SKIPPED and room >= 0.5 and free:
                 handle = queue.popleft()
                 if handle.closed or handle.out:
                     continue
@@ -663,7 +702,7 @@
 
     def _send_best(self, now: float, handle: Submission, free: list[AppServer]) -> AppServer | None:
         """Send to the one expected to answer first; with few places, of those known and a few others."""
-        best, lowest, some = None, float("inf"), max(FEW, int(self.places(now)))
+        best, lowest, some = None, float("inf"), max(MIN_CANDIDATES, int(self.places(now)))
         tried = [one.server for one in handle.risky.values()]
         if not handle.count and len(free) > some:
             known = [server for server in free if now - server.answered_at < FAMILIAR]
