--- a/merlintally/lab/builds/loading.py
+++ b/merlintally/lab/builds/loading.py
@@ -16,6 +16,7 @@
 from merlintally.forms import Faults, nearest
 from merlintally.lab.builds.base import Build
 from merlintally.lab.builds.baselines import BASELINES
+from merlintally.lab.builds.earlier_names import add_aliases
 
 PACKAGE = Path(__file__).resolve().parents[2]  # the folder of the module as it stands
 IMPORTS = re.compile(r"^(\s*(?:from|import)\s+)merlintally\b", re.MULTILINE)
@@ -27,6 +28,7 @@
 
     def exec_module(self, module: ModuleType) -> None:
         exec(compile(self.source, self.origin, "exec"), module.__dict__)
+        add_aliases(module)
 
 
 class _Finder(importlib.abc.MetaPathFinder):
