--- a/merlintally/interface.py
+++ b/merlintally/interface.py
@@ -1,6 +1,6 @@
-"""The plain types that go into and come out of the decisions in merlintally.choice.
+"""The types of the arguments and results of the decisions in merlintally.choice.
 
-Times are seconds with fractions; ids are kept as the protocol in front gives them.
+Times are in seconds. Ids are those of the caller.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LaneFacts:
-    """What a deployment states about one lane of submissions."""
+    """The settings of one lane of submissions; times in seconds."""
 
     name: str
     quoted_time: float
     hard_limit: float
-    gain: float
-    late_gain: float
-    effect: Effect
-    discard_group: Group
-    remembered: float
+    gain: float  # of an answer within the quoted time
+    late_gain: float  # of an answer between quoted time and hard limit, as a share of the gain
+    effect: Effect  # whether a repeated execution is safe
+    discard_group: Group  # the servers among which a repeated stamped execution is discarded
+    remembered: float  # seconds for which servers remember a stamped execution
 
 
 @dataclass(frozen=True, slots=True)
 class PlanFacts:
-    """What a deployment states about one plan; each figure holds for each of its customers."""
+    """The settings of one plan, which apply to each of its customers; rates in units per second."""
 
     name: str
     rate: float
     burst: float
-    open_limit: int
+    open_limit: int  # executions in flight; 0: no limit
     ceiling_rate: float
     ceiling_burst: float
     ceiling_slack: float
@@ -49,9 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartFacts:
-    """All that a gateway is told when it starts."""
+    """The settings of a gateway, fixed at its start."""
 
-    number: int
+    number: int  # of this gateway, from 0
     gateways: int
     zone: str
     lanes: tuple[LaneFacts, ...]
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerFacts:
-    """One line of the server list; `started` is 0 where the server has run for long."""
+    """One row of the server list; `started` is the start time, or 0 if it was long ago."""
 
     server: str
     presence: Presence
@@ -92,28 +92,34 @@
 
 @dataclass(slots=True)
 class Results:
-    """What the decisions want done, in plain rows; whoever stands in front takes and clears them."""
-
-    sends: list[tuple[int, str, float]] = field(default_factory=list)  # submission, server, time-out or 0
-    bounced: list[tuple[int, float]] = field(default_factory=list)  # submission, come back after (0: unsaid)
-    given_up: list[int] = field(default_factory=list)
+    """The actions to carry out, in rows by kind; sends come first."""
+
+    sends: list[tuple[int, str, float]] = field(
+        default_factory=list
+    )  # submission, server, timeout in seconds or 0
+    bounced: list[tuple[int, float]] = field(
+        default_factory=list
+    )  # submission, retry after seconds (0: unstated)
+    given_up: list[int] = field(default_factory=list)  # submissions
     withdrawn: list[tuple[int, int]] = field(default_factory=list)  # submission, execution number
-    adds: list[tuple[int, float, float]] = field(default_factory=list)  # count, amount, kept for
+    adds: list[tuple[int, float, float]] = field(
+        default_factory=list
+    )  # counter, amount, seconds to keep the counter
     notes: list[bytes] = field(default_factory=list)  # to every other gateway
     logs: list[str] = field(default_factory=list)
-    wake_after: float | None = None
+    wake_after: float | None = None  # seconds until `Gateway.wake` is due
 
 
 class Refusal(StrEnum):
-    """Why the decisions end a submission without an answer of a server."""
+    """The reason for which a submission was ended without a server's answer."""
 
-    NO_TIME = "no time is left"
-    LATE = "what waits before it takes longer than it has"
+    NO_TIME = "no time left before the hard limit"
+    LATE = "the queue is too long to answer it in time"
     BEYOND_QUOTA = "beyond the quota"
     CEILING = "beyond the ceiling"
-    WAITED = "it waited until it could not be in time"
-    NOT_AGAIN = "its last execution failed, and it may not be sent again"
-    LEAVE = "the node leaves"
+    WAITED = "waited too long to be answered in time"
+    NOT_AGAIN = "the last execution failed and may not be repeated"
+    LEAVE = "the node is shutting down"
 
 
 LoadReport = Mapping[str, float]  # any of: waiting, held, busy, answer_time, answers_per_s, errors_per_s
--- a/merlintally/naming.py
+++ b/merlintally/naming.py
@@ -1,4 +1,4 @@
-"""Names of counts, which every gateway finds alike from the customer's key."""
+"""Names of counters, derived from the customer's key so that all gateways use the same ones."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def count_name(key: str, epoch: int) -> int:
-    """The name of a customer's count in an epoch.
+    """The name of the counter of a customer in an epoch.
 
     >>> count_name("c", 1) == count_name("c", 1) != count_name("c", 2)
     True
@@ -15,7 +15,7 @@
 
 
 def phase(key: str) -> float:
-    """A part of an epoch, by which the epochs of customers are set apart.
+    """The offset of a customer's epochs as a fraction of an epoch, which spreads their starts over time.
 
     >>> 0 <= phase("c") < 1
     True
--- a/merlintally/notes.py
+++ b/merlintally/notes.py
@@ -1,4 +1,7 @@
-"""The notes that gateways send each other: rows of a customer's mark and what was drawn since."""
+"""Notes, in which gateways report to each other the units that they have drawn of their customers.
+
+A note is a sequence of rows, each with a customer's mark and the units drawn since the last note.
+"""
 
 from __future__ import annotations
 
@@ -6,19 +9,21 @@
 from collections.abc import Iterable, Iterator
 from typing import Protocol
 
-ROW = struct.Struct(">Ib")  # what was drawn is in half units
-MOST_ROWS = 256 // ROW.size
+ROW = struct.Struct(">Ib")  # mark, and units drawn in halves
+MAX_ROWS = 256 // ROW.size
 
 
 class Drawn(Protocol):
-    """A customer, of whose draws the notes tell."""
+    """A customer whose drawn units are reported in notes."""
 
     mark: int
-    drawn: float  # not told yet
+    drawn: float  # units not yet reported
 
 
 def told(customers: Iterable[Drawn]) -> bytes:
-    """A note of all that was not told yet, as far as there is room; what a row can't hold is told later.
+    """Encode a note of all units not yet reported and subtract them from `drawn`.
+
+    Units beyond the range of a row, and customers beyond the size of a note, are left for the next one.
 
     >>> from types import SimpleNamespace
     >>> one = SimpleNamespace(mark=7, drawn=65.25)
@@ -26,16 +31,16 @@
     ([(7, 63.5)], 1.75, [(7, 2.0)])
     """
     note = bytearray()
-    for one in customers:
-        halves = max(-127, min(127, round(2 * one.drawn)))
-        if halves and len(note) < MOST_ROWS * ROW.size:
-            one.drawn -= halves / 2
-            note += ROW.pack(one.mark, halves)
+    for customer in customers:
+        halves = max(-127, min(127, round(2 * customer.drawn)))
+        if halves and len(note) < MAX_ROWS * ROW.size:
+            customer.drawn -= halves / 2
+            note += ROW.pack(customer.mark, halves)
     return bytes(note)
 
 
 def unpack(note: bytes) -> Iterator[tuple[int, float]]:
-    """The rows of a note; none where it can't be one.
+    """Decode a note into marks and units drawn; a note of invalid length has no rows.
 
     >>> list(unpack(b"seven b"))
     []
