--- a/merlintally/benchlink/__init__.py
+++ b/merlintally/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the bench and the decisions in merlintally.choice."""
+"""Connects the bench to the decisions in merlintally.choice."""
--- a/merlintally/benchlink/__main__.py
+++ b/merlintally/benchlink/__main__.py
@@ -1,4 +1,7 @@
-"""Reads batches on standard input and answers each on standard output: `python -m merlintally.benchlink`."""
+"""Reads batches from standard input and writes a reply to each to standard output.
+
+Run as `python -m merlintally.benchlink`. Malformed input ends it with exit status 2.
+"""
 
 from __future__ import annotations
 
@@ -20,13 +23,13 @@
                 raise
             except Exception as error:
                 traceback.print_exc()
-                where = next(iter(link.nodes), "node-0")
-                serial = next((p[7:] for p in lines[0].split(" ") if p.startswith("serial=")), "0")
-                reply = [f"FROM nodeId={where}", f"INTERNAL_ERROR line={error!r}", f"READY serial={serial}"]
+                node = next(iter(link.nodes), "node-0")
+                serial = next((part[7:] for part in lines[0].split(" ") if part.startswith("serial=")), "0")
+                reply = [f"FROM nodeId={node}", f"INTERNAL_ERROR line={error!r}", f"READY serial={serial}"]
             sys.stdout.write("\n".join(reply) + "\n")
             sys.stdout.flush()
-    except Malformed as wrong:
-        print(f"benchlink: {wrong}", file=sys.stderr)
+    except Malformed as malformed:
+        print(f"benchlink: {malformed}", file=sys.stderr)
         return 2
     return 0
 
--- a/merlintally/benchlink/codec.py
+++ b/merlintally/benchlink/codec.py
@@ -1,4 +1,7 @@
-"""Decodes the wire's lines into calls on gateways and their submissions, and encodes results as lines."""
+"""Decodes lines of the bench's protocol into calls on gateways, and encodes the results as lines.
+
+Input that does not follow the protocol raises Malformed.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from merlintally.benchlink.framing import split_line
 from merlintally.choice import Gateway, Submission
 from merlintally.facts import reported_names, start_facts
-from merlintally.fields import Fields, Malformed, known, number, text, truth, whole
+from merlintally.fields import Fields, Malformed, boolean, known, number, text, whole
 from merlintally.interface import CounterOutcome, Outcome, Presence, Results, ServerFacts
 
 OUTCOMES: dict[str, Outcome] = {
@@ -26,6 +29,7 @@
 
 
 def server_facts(fields: Fields) -> ServerFacts:
+    """One row of a server list."""
     return ServerFacts(
         server=text(fields, "server"),
         presence=known(PRESENCES, text(fields, "readiness"), "readiness"),
@@ -38,27 +42,27 @@
 
 
 def encode(results: Results, node: str, lines: list[str]) -> None:
-    """Append the rows of `results` as lines of the reply: sends first, so that a later row may name them."""
+    """Append `results` to the lines of a reply: sends first, as later rows may refer to them."""
     lines.append(f"FROM nodeId={node}")
     lines.extend(f"SAY_LOG line={row}" for row in results.logs)
-    for submission, server, time_out in results.sends:
-        lines.append(f"SEND req={submission} server={server}" + (f" capS={time_out:.6f}" if time_out else ""))
+    for submission, server, timeout in results.sends:
+        lines.append(f"SEND req={submission} server={server}" + (f" capS={timeout:.6f}" if timeout else ""))
     for submission, wait in results.bounced:
         lines.append(f"PUSH_BACK req={submission}" + (f" backoffS={wait:.6f}" if wait > 0 else ""))
     lines.extend(f"FINISH_ERROR req={row}" for row in results.given_up)
     lines.extend(f"WITHDRAW req={row} attempt={execution}" for row, execution in results.withdrawn)
-    for count, amount, keep in results.adds:
-        lines.append(f"ADD counter={count} keepForS={keep:g} qty={amount:.7g}")
+    for counter, amount, keep_s in results.adds:
+        lines.append(f"ADD counter={counter} keepForS={keep_s:g} qty={amount:.7g}")
     lines.extend(f"NOTIFY dest=* raw={row.hex() or '-'}" for row in results.notes)
     if results.wake_after is not None:
         lines.append(f"SET_ALARM delayS={results.wake_after:.6f} cookie=1")
 
 
 class Node:
-    """One gateway behind the wire, with the handles of the submissions it still has to do with."""
+    """One gateway and the handles of its submissions that are not settled."""
 
     def __init__(self, info: Fields, salt: int, now: float) -> None:
-        self.reported = reported_names(info)
+        self.report_fields = reported_names(info)
         self.gateway = Gateway(start_facts(info), salt, now)
         self.handles: dict[int, Submission] = {}
 
@@ -87,15 +91,15 @@
         if fields.get("report", "-") != "-":
             values = fields["report"].split(",")
             try:
-                report = {name: float(value) for name, value in zip(self.reported, values, strict=False)}
+                report = {name: float(value) for name, value in zip(self.report_fields, values, strict=False)}
             except ValueError:
-                raise Malformed(f"report is not a row of numbers: {fields['report']!r}") from None
+                raise Malformed(f"report is not a list of numbers: {fields['report']!r}") from None
         handle.ended(
             now,
             whole(fields, "attempt"),
             code,
             number(fields, "elapsedS", 0.0),
-            truth(fields, "over"),
+            boolean(fields, "over"),
             number(fields, "actual", 0.0),
             report,
         )
@@ -142,12 +146,12 @@
     "TALLY_BACK": Node.counted,
     "NOTE_FROM": Node.note,
     "TIMER": lambda node, now, fields: node.gateway.wake(now),
-    "CHECK_RESULT": lambda node, now, fields: None,  # the decisions ask for no checks
+    "CHECK_RESULT": lambda node, now, fields: None,  # the decisions request no health checks
 }
 
 
 class Link:
-    """All nodes of one process, and the numbered server lists that they share on the wire."""
+    """The nodes of one process, and the server lists (pages) that they share."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
@@ -155,34 +159,34 @@
         self.clock = 0.0
 
     def answer(self, first: int, lines: list[str]) -> list[str]:
-        """The reply to one batch; `first` is the number of its first line."""
+        """The reply to one batch; `first` is the number of its first line, for errors."""
         reply: list[str] = []
-        touched: dict[str, None] = {}
-        serial, context, at = 0, "", 0
+        changed: dict[str, None] = {}
+        serial, context, index = 0, "", 0
         try:
-            while at < len(lines):
-                word, fields = split_line(lines[at])
+            while index < len(lines):
+                word, fields = split_line(lines[index])
                 if word == "TURN":
                     self.clock, serial = number(fields, "timeS"), whole(fields, "serial")
                 elif word == "CONTEXT":
                     context = text(fields, "nodeId")
                 elif word == "POOL":
                     count = whole(fields, "nodesList", 0)
-                    entries = lines[at + 1 : at + 1 + count]
+                    entries = lines[index + 1 : index + 1 + count]
                     self.pages[whole(fields, "page")] = [self._entry(line) for line in entries]
                     if len(entries) < count:
-                        raise Malformed(f"POOL announces {count} entries and has {len(entries)}")
-                    at += count
+                        raise Malformed(f"POOL announces {count} entries but has {len(entries)}")
+                    index += count
                 elif word == "CRASH_NOW":
                     self.nodes.pop(context, None)
-                    touched.pop(context, None)
+                    changed.pop(context, None)
                 else:
                     self._event(context, word, fields)
-                    touched[context] = None
-                at += 1
-        except Malformed as wrong:
-            raise Malformed(f"line {first + at}: {wrong}") from None
-        for name in touched:
+                    changed[context] = None
+                index += 1
+        except Malformed as error:
+            raise Malformed(f"line {first + index}: {error}") from None
+        for name in changed:
             encode(self.nodes[name].gateway.take_results(self.clock), name, reply)
         reply.append(f"READY serial={serial}")
         return reply
@@ -190,7 +194,7 @@
     def _entry(self, line: str) -> ServerFacts:
         word, fields = split_line(line)
         if word != "ENTRY":
-            raise Malformed(f"an ENTRY was due, not {word!r}")
+            raise Malformed(f"expected ENTRY, got {word!r}")
         return server_facts(fields)
 
     def _event(self, context: str, word: str, fields: Fields) -> None:
@@ -209,7 +213,7 @@
             if mode != "X":
                 page = whole(fields, "page")
                 if page not in self.pages:
-                    raise Malformed(f"no POOL numbered {page} has come")
+                    raise Malformed(f"unknown page {page}: no POOL has defined it")
                 node.gateway.roster(self.clock, self.pages[page], complete=mode != "D")
             return
         handler = EVENTS.get(word)
--- a/merlintally/benchlink/framing.py
+++ b/merlintally/benchlink/framing.py
@@ -1,4 +1,4 @@
-"""Lines and batches of the bench's wire."""
+"""Lines and batches of the bench's protocol."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def split_line(line: str) -> tuple[str, Fields]:
-    """The first word of a line and its name=value parts.
+    """The first word of a line and its name=value fields; Malformed if a part has no `=`.
 
     >>> split_line("TIMER cookie=77")
     ('TIMER', {'cookie': '77'})
@@ -27,19 +27,19 @@
 
 
 def batches(stream: TextIO) -> Iterator[tuple[int, list[str]]]:
-    """The batches of a stream, each with the number of its first line."""
+    """The batches of a stream, each with the number of its first line; a batch ends with the line GO."""
     lines: list[str] = []
-    start = 1
-    for at, raw in enumerate(stream, 1):
+    first = 1
+    for number, raw in enumerate(stream, 1):
         line = raw.rstrip("\r\n")
         if not line:
             continue
         if not lines:
-            start = at
+            first = number
         if line == "GO":
-            yield start, lines
+            yield first, lines
             lines = []
         else:
             lines.append(line)
     if lines:
-        raise Malformed(f"line {start}: the input ended inside a batch")
+        raise Malformed(f"line {first}: the input ended inside a batch")
--- a/merlintally/facts.py
+++ b/merlintally/facts.py
@@ -1,18 +1,19 @@
-"""The start facts, read from the settings: path=value pairs such as `classes.0.deadlineS`.
+"""Reads the start facts of a gateway from its settings, path=value pairs such as `classes.0.deadlineS`.
 
-Defaults of settings that are absent stand here and nowhere else.
+The defaults of absent settings are defined here only. All functions raise Malformed with the name of a field
+that is missing or has an invalid value.
 """
 
 from __future__ import annotations
 
 import math
 
-from merlintally.fields import Fields, known, number, text, truth, whole
+from merlintally.fields import Fields, boolean, known, number, text, whole
 from merlintally.interface import Effect, Group, LaneFacts, PlanFacts, StartFacts
 
 EFFECTS: dict[str, Effect] = {"repeatable": "harmless", "by_key": "stamped", "once": "one-shot"}
 GROUPS: dict[str, Group] = {"all": "all", "zone": "zone", "cell": "cell"}
-REPORTED = {  # names in a load report, as the settings and as the sockets have them
+REPORTED = {  # fields of a load report: names in the settings or on the wire, to those in the decisions
     "outstanding": "held",
     "backlog": "waiting",
     "utilization": "busy",
@@ -29,17 +30,18 @@
 
 
 def reported_names(info: Fields) -> list[str]:
-    """The fields of a load report in their order, by their names in the decisions."""
-    named = whole(info, "report.names.count", -1)
+    """The fields of a load report in the order of the settings, by their names in the decisions."""
+    count = whole(info, "report.names.count", -1)
     names = (
         info.get("report.names", "").split(",")
-        if named < 0
-        else [info.get(f"report.names.{i}", "") for i in range(named)]
+        if count < 0
+        else [info.get(f"report.names.{i}", "") for i in range(count)]
     )
     return [REPORTED.get(name, name) for name in names]
 
 
 def lane_facts(info: Fields, path: str) -> LaneFacts:
+    """The facts of the lane whose settings have the prefix `path`."""
     hard_limit = number(info, path + "deadlineS")
     return LaneFacts(
         name=text(info, path + "name"),
@@ -54,6 +56,7 @@
 
 
 def plan_facts(info: Fields, path: str) -> PlanFacts:
+    """The facts of the plan whose settings have the prefix `path`."""
     return PlanFacts(
         name=text(info, path + "name"),
         rate=number(info, path + "unitsPerS", 0.0),
@@ -69,7 +72,7 @@
 
 
 def start_facts(info: Fields) -> StartFacts:
-    """What a gateway is told at its start; absent settings take the defaults written here."""
+    """The facts of a gateway; absent settings take their defaults."""
     return StartFacts(
         number=whole(info, "slotNo", 0),
         gateways=whole(info, "balancers", 1),
@@ -77,16 +80,16 @@
         lanes=tuple(lane_facts(info, f"classes.{i}.") for i in range(whole(info, "classes.count", 0))),
         plans=tuple(plan_facts(info, f"tariffs.{i}.") for i in range(whole(info, "tariffs.count", 0))),
         largest_units=number(info, "familyInfo.largest") if "familyInfo.largest" in info else math.inf,
-        settles=truth(info, "familyInfo.postPaid"),
-        may_count=truth(info, "familyInfo.mayCount"),
+        settles=boolean(info, "familyInfo.postPaid"),
+        may_count=boolean(info, "familyInfo.mayCount"),
         count_time_out=number(info, "familyInfo.countLimitS", 0.05),
         count_price=number(info, "familyInfo.callPrice", 0.0),
-        may_note=truth(info, "limits.peers"),
+        may_note=boolean(info, "limits.peers"),
         note_price=number(info, "prices.peer", 0.0),
-        may_withdraw=truth(info, "limits.mayCancel"),
-        parallel=truth(info, "limits.parallelTries"),
+        may_withdraw=boolean(info, "limits.mayCancel"),
+        parallel=boolean(info, "limits.parallelTries"),
         most_executions=whole(info, "limits.maxAttempts", 1),
-        retry_after_limit=number(info, "limits.maxRetryAfterS", 0.0) * truth(info, "limits.retryAfter"),
+        retry_after_limit=number(info, "limits.maxRetryAfterS", 0.0) * boolean(info, "limits.retryAfter"),
         cross_zone_price=number(info, "prices.crossZone", 0.0),
         handshake_price=number(info, "prices.handshake", 0.0),
         waste_price=number(info, "prices.waste", 0.0),
--- a/merlintally/fields.py
+++ b/merlintally/fields.py
@@ -1,4 +1,4 @@
-"""Named text values, read with their types; what is wrong is said with the name of the field."""
+"""Reads typed values from named text fields; errors give the name of the field."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class Malformed(Exception):
-    """Something that does not follow its form; the text says what is wrong with it."""
+    """Input that is missing or invalid; the text says what is wrong."""
 
 
 def text(fields: Fields, name: str) -> str:
+    """The value of a required field."""
     try:
         return fields[name]
     except KeyError:
@@ -21,6 +22,7 @@
 
 
 def whole(fields: Fields, name: str, default: int | None = None) -> int:
+    """A whole number; Malformed if it is missing without a default, or invalid."""
     value = fields.get(name)
     if value is None and default is not None:
         return default
@@ -31,28 +33,30 @@
 
 
 def number(fields: Fields, name: str, default: float | None = None) -> float:
+    """A finite number; Malformed if it is missing without a default, or invalid."""
     value = fields.get(name)
     if value is None and default is not None:
         return default
     try:
-        found = float(text(fields, name))
+        parsed = float(text(fields, name))
     except ValueError:
         raise Malformed(f"field {name!r} is not a number: {value!r}") from None
-    if not math.isfinite(found):
+    if not math.isfinite(parsed):
         raise Malformed(f"field {name!r} is not a finite number: {value!r}")
-    return found
+    return parsed
 
 
-def truth(fields: Fields, name: str) -> bool:
-    """A yes-or-no value; absent means no.
+def boolean(fields: Fields, name: str) -> bool:
+    """A boolean; False if the field is absent.
 
-    >>> truth({"over": "1"}, "over"), truth({}, "over"), truth({"over": "false"}, "over")
+    >>> boolean({"over": "1"}, "over"), boolean({}, "over"), boolean({"over": "false"}, "over")
     (True, False, False)
     """
     return fields.get(name, "0") in ("1", "true")
 
 
 def known(table: dict[str, T], word: str, name: str) -> T:
+    """The entry of `table` for the value `word` of a field; Malformed if there is none."""
     try:
         return table[word]
     except KeyError:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -20,7 +20,7 @@
     assert answer("CONTEXT nodeId=a", "LAUNCH salt=1", "NONSENSE") == "line 4: unknown message 'NONSENSE'"
     assert "salt" in answer("CONTEXT nodeId=a", "LAUNCH salt=x")
     roster = answer("CONTEXT nodeId=a", "LAUNCH salt=1", "ROSTER_CHANGE mode=C page=3")
-    assert roster == "line 4: no POOL numbered 3 has come"
+    assert roster == "line 4: unknown page 3: no POOL has defined it"
     assert "has not been launched" in answer("CONTEXT nodeId=a", "TIMER cookie=1")
 
 
