--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -58,7 +58,7 @@
 
 def test_lane_slower_than_its_quoted_time_is_still_let_in() -> None:
     at = gateway()
-    at.lanes["lane"].mean = 5.0
+    at.lanes["lane"].mean_time = 5.0
     assert not take(at).closed
 
 
@@ -120,7 +120,7 @@
     at = gateway((lane(effect="stamped", discard_group="cell"),))
     at.roster(100.0, [replace(SERVER, server="s2", cell=1), replace(SERVER, server="s3")], complete=False)
     handle = take(at)
-    handle.risky = {0: Execution(at.servers["s1"], 100.0, "z", 0)}
+    handle.may_have_run = {0: Execution(at.servers["s1"], 100.0, "z", 0)}
     assert at._may_send(101.0, handle, at.servers["s2"]) == "no effect twice"
     assert at._may_send(101.0, handle, at.servers["s3"]) is None
     assert at._may_send(103.5, handle, at.servers["s3"]) == "no effect twice"
@@ -137,7 +137,7 @@
     at = gateway()
     server = at.servers["s1"]
     for _ in range(4):
-        server.answered(100.0, at.lanes["lane"], "error", 0.001, 1.0, None, 0.0)
+        server.record_outcome(100.0, at.lanes["lane"], "error", 0.001, 1.0, None, 0.0)
     assert not server.has_place(100.5) and server.has_place(102.0)
 
 
@@ -148,18 +148,18 @@
     for name in ("s2", "s3", "s4", "s5"):
         at.servers[name].samples.add(105.0, 1.0)
     at.servers["s1"].out = {(n, 0): (100.0, row, 1.0) for n in range(4)}
-    at._judge(105.0)
-    assert at.servers["s1"].slow > 2 > at.servers["s2"].slow
+    at._update_slowness(105.0)
+    assert at.servers["s1"].slowness > 2 > at.servers["s2"].slowness
 
 
 def test_execution_is_timed_out_while_another_could_be_in_time() -> None:
     at = gateway((lane(quoted_time=9.0, hard_limit=12.0), lane(name="once", effect="one-shot")))
-    at.lanes["lane"].mean = at.lanes["once"].mean = 0.05
+    at.lanes["lane"].mean_time = at.lanes["once"].mean_time = 0.05
     server = at.servers["s1"]
-    usual = at._patience(100.0, take(at, time_left=12.0), server)
-    server.slow = 3.0
-    assert 0 < at._patience(100.0, take(at, 2, time_left=12.0), server) < usual
-    assert at._patience(100.0, take(at, 3, lane_name="once"), server) == 0.0
+    usual = at._timeout(100.0, take(at, time_left=12.0), server)
+    server.slowness = 3.0
+    assert 0 < at._timeout(100.0, take(at, 2, time_left=12.0), server) < usual
+    assert at._timeout(100.0, take(at, 3, lane_name="once"), server) == 0.0
 
 
 def test_strain_of_all_servers_brakes_a_gateway_with_few_places() -> None:
@@ -173,8 +173,8 @@
     at = gateway(gateways=300)
     at.roster(100.0, [replace(SERVER, server=f"s{n}") for n in range(60)], complete=True)
     for server in at.servers.values():
-        server.ratio = 5.0
-    at.servers["s7"].ratio, at.servers["s7"].answered_at = 1.0, 99.0
+        server.load_ratio = 5.0
+    at.servers["s7"].load_ratio, at.servers["s7"].last_answer_at = 1.0, 99.0
     take(at)
     assert at.take_results(100.0).sends[0][1] == "s7"
 
@@ -185,38 +185,45 @@
         at = gateway(handshake_price=price)
         at.roster(100.0, [replace(SERVER, server=f"s{n}") for n in range(2, 9)], complete=False)
         known = at.servers["s1"]
-        known.answered(99.0, at.lanes["lane"], "ok", 0.2, 1.0, None, 0.0)
-        assert known.connected(100.0) and not known.connected(120.0)
+        known.record_outcome(99.0, at.lanes["lane"], "ok", 0.2, 1.0, None, 0.0)
+        assert known.has_idle_connection(100.0) and not known.has_idle_connection(120.0)
         take(at)
-        assert (at.take_results(100.0).sends[0][1] == "s1") == (price > 0) == (not known.connected(100.0))
+        assert (
+            (at.take_results(100.0).sends[0][1] == "s1")
+            == (price > 0)
+            == (not known.has_idle_connection(100.0))
+        )
 
 
 def test_places_grow_only_while_work_waits() -> None:
     at = gateway()
     server, row = at.servers["s1"], at.lanes["lane"]
     before = server.places
-    server.answered(100.0, row, "ok", row.floor, 1.0, None, 0.0)
+    server.record_outcome(100.0, row, "ok", row.base_time, 1.0, None, 0.0)
     assert server.places == before
-    server.answered(100.0, row, "ok", row.floor, 1.0, None, 0.5)
+    server.record_outcome(100.0, row, "ok", row.base_time, 1.0, None, 0.5)
     assert server.places > before
 
 
 def test_neither_the_few_answers_that_come_first_nor_large_pieces_make_idle_servers_look_strained() -> None:
     row = gateway((lane(quoted_time=3.0),)).lanes["lane"]
     for _ in range(3):
-        row.learn(0.02, 1.0)
-    assert row.floor > 0.3 and row.relative(0.5, 1.0) < 1.5
+        row.record_answer(0.02, 1.0)
+    assert row.base_time > 0.3 and row.relative_time(0.5, 1.0) < 1.5
     for _ in range(50):
-        row.learn(0.1, 1.0)
-        row.learn(0.6, 6.0)
-    assert row.relative(0.6, 6.0) == pytest.approx(row.relative(0.1, 1.0)) and row.relative(0.6, 1.0) > 4
+        row.record_answer(0.1, 1.0)
+        row.record_answer(0.6, 6.0)
+    assert (
+        row.relative_time(0.6, 6.0) == pytest.approx(row.relative_time(0.1, 1.0))
+        and row.relative_time(0.6, 1.0) > 4
+    )
 
 
 def test_restarted_server_begins_anew() -> None:
     at = gateway()
-    at.servers["s1"].failing = 0.9
+    at.servers["s1"].failure_rate = 0.9
     at.roster(101.0, [replace(SERVER, started=100.5)], complete=False)
-    assert at.servers["s1"].failing == 0.0
+    assert at.servers["s1"].failure_rate == 0.0
 
 
 def test_late_answer_for_something_gone_is_ignored() -> None:
@@ -241,7 +248,7 @@
 def test_spread_that_is_missing_or_beyond_the_gateways_never_widens_a_ceilings_part() -> None:
     at = gateway(gateways=4)
     parts = [
-        at.take(100.0, n, "lane", f"k{n}", "plan", 4.0, 1.0, spread).customer.part_depth
+        at.take(100.0, n, "lane", f"k{n}", "plan", 4.0, 1.0, spread).customer.ceiling_depth
         for n, spread in enumerate((0, 9))
     ]
     assert parts == [PLAN.ceiling_burst / 4, PLAN.ceiling_burst / 9]
@@ -280,16 +287,16 @@
     at = gateway()
     at.roster(100.0, [replace(SERVER, server=f"s{number}") for number in range(4)], complete=True)
     for one in at.servers.values():
-        one.failing = 0.5
-    at._judge(100.0)
+        one.failure_rate = 0.5
+    at._update_slowness(100.0)
     alike, alone = at.servers["s0"], at.servers["s1"]
-    alike.answered(100.0, at.lanes["lane"], "broken", 0.001, 1.0, None, 0.0)
-    assert alike.worth(100.0) > 0.8 * alike.places
+    alike.record_outcome(100.0, at.lanes["lane"], "broken", 0.001, 1.0, None, 0.0)
+    assert alike.usable_concurrency(100.0) > 0.8 * alike.places
     for name in ("s0", "s2", "s3"):
-        at.servers[name].failing = 0.0
-    at._judge(100.0)
-    alone.answered(100.0, at.lanes["lane"], "broken", 0.001, 1.0, None, 0.0)
-    assert alone.worth(100.0) == 0.0 and alone.resume > 101.0
+        at.servers[name].failure_rate = 0.0
+    at._update_slowness(100.0)
+    alone.record_outcome(100.0, at.lanes["lane"], "broken", 0.001, 1.0, None, 0.0)
+    assert alone.usable_concurrency(100.0) == 0.0 and alone.paused_until > 101.0
 
 
 @pytest.mark.parametrize("gateways", [4, 30, 200])
