--- a/tests/test_throttler.py
+++ b/tests/test_throttler.py
@@ -90,11 +90,11 @@
 
 
 def test_update_keeps_the_balance_known_from_notes_unless_the_last_update_is_an_epoch_old() -> None:
-    for heard, store in ((90.0, 3.0), (30.0, 5.0)):
+    for updated_at, balance in ((90.0, 3.0), (30.0, 5.0)):
         one = customer()
-        one.heard, one.store, one.sure, one.at = heard, 3.0, True, 100.0
+        one.heard, one.store, one.sure, one.at = updated_at, 3.0, True, 100.0
         one.apply_count(PLAN.rate * one.epoch(100.0)[1] + 3.0, 0.0, 100.0)
-        assert abs(one.store - store) < 1e-6
+        assert abs(one.store - balance) < 1e-6
 
 
 def gateway_with_notes(**changes: Any) -> Gateway:
@@ -212,7 +212,7 @@
 
 
 def test_call_rate_stays_bounded_after_many_quick_answers() -> None:
-    """Otherwise failures would not reduce it soon enough once the counter slows."""
+    """Otherwise it would take many failures to reduce it once the counter slows."""
     decisions = gateway()
     for _ in range(500):
         decisions.asking[1], decisions.customers["c"].asked = decisions.customers["c"], 0.0
