--- a/merlintally/benchlink/codec.py
+++ b/merlintally/benchlink/codec.py
@@ -11,7 +11,7 @@
 from merlintally.benchlink.framing import split_line
 from merlintally.choice import Gateway, Submission
 from merlintally.facts import reported_names, start_facts
-from merlintally.fields import Fields, Malformed, boolean, known, number, text, whole
+from merlintally.fields import Fields, Malformed, boolean, integer, lookup, number, text
 from merlintally.interface import CounterOutcome, Outcome, Presence, Results, ServerFacts
 
 OUTCOMES: dict[str, Outcome] = {
@@ -32,9 +32,9 @@
     """One row of a server list."""
     return ServerFacts(
         server=text(fields, "server"),
-        presence=known(PRESENCES, text(fields, "readiness"), "readiness"),
+        presence=lookup(PRESENCES, text(fields, "readiness"), "readiness"),
         zone=fields.get("failureDomain", ""),
-        cell=whole(fields, "cluster", 0),
+        cell=integer(fields, "cluster", 0),
         started=number(fields, "launchedS", 0.0),
         size=number(fields, "size", 1.0),
         machine=fields.get("machine", ""),
@@ -67,7 +67,7 @@
         self.handles: dict[int, Submission] = {}
 
     def submit(self, now: float, fields: Fields) -> None:
-        submission = whole(fields, "req")
+        submission = integer(fields, "req")
         handle = self.gateway.take(
             now,
             submission,
@@ -76,14 +76,14 @@
             text(fields, "gradeOfService"),
             number(fields, "timeLeftS"),
             number(fields, "units", 1.0),
-            whole(fields, "spread", 0),
+            integer(fields, "spread", 0),
         )
         if not handle.settled:
             self.handles[submission] = handle
 
     def ended(self, now: float, fields: Fields) -> None:
-        submission = whole(fields, "req")
-        code = known(OUTCOMES, text(fields, "code"), "code")
+        submission = integer(fields, "req")
+        code = lookup(OUTCOMES, text(fields, "code"), "code")
         handle = self.handles.get(submission)
         if handle is None:
             return
@@ -96,7 +96,7 @@
                 raise Malformed(f"report is not a list of numbers: {fields['report']!r}") from None
         handle.ended(
             now,
-            whole(fields, "attempt"),
+            integer(fields, "attempt"),
             code,
             number(fields, "elapsedS", 0.0),
             boolean(fields, "over"),
@@ -107,12 +107,12 @@
             del self.handles[submission]
 
     def begun(self, now: float, fields: Fields) -> None:
-        handle = self.handles.get(whole(fields, "req"))
+        handle = self.handles.get(integer(fields, "req"))
         if handle is not None:
-            handle.begun(now, whole(fields, "attempt"))
+            handle.begun(now, integer(fields, "attempt"))
 
     def left(self, now: float, fields: Fields) -> None:
-        submission = whole(fields, "req")
+        submission = integer(fields, "req")
         handle = self.handles.get(submission)
         if handle is not None:
             handle.left(now)
@@ -120,10 +120,10 @@
                 del self.handles[submission]
 
     def counted(self, now: float, fields: Fields) -> None:
-        outcome = known(OUTCOMES, text(fields, "code"), "code")
+        outcome = lookup(OUTCOMES, text(fields, "code"), "code")
         self.gateway.counted(
             now,
-            whole(fields, "counter"),
+            integer(fields, "counter"),
             cast(CounterOutcome, outcome),
             number(fields, "resultValue", 0.0),
             number(fields, "elapsedS", 0.0),
@@ -135,7 +135,7 @@
             payload = b"" if raw == "-" else bytes.fromhex(raw)
         except ValueError:
             raise Malformed(f"raw is not hex digits: {raw!r}") from None
-        self.gateway.noted(now, whole(fields, "from"), payload)
+        self.gateway.noted(now, integer(fields, "from"), payload)
 
 
 EVENTS: dict[str, Callable[[Node, float, Fields], None]] = {
@@ -167,13 +167,13 @@
             while index < len(lines):
                 word, fields = split_line(lines[index])
                 if word == "TURN":
-                    self.clock, serial = number(fields, "timeS"), whole(fields, "serial")
+                    self.clock, serial = number(fields, "timeS"), integer(fields, "serial")
                 elif word == "CONTEXT":
                     context = text(fields, "nodeId")
                 elif word == "POOL":
-                    count = whole(fields, "nodesList", 0)
+                    count = integer(fields, "nodesList", 0)
                     entries = lines[index + 1 : index + 1 + count]
-                    self.pages[whole(fields, "page")] = [self._entry(line) for line in entries]
+                    self.pages[integer(fields, "page")] = [self._entry(line) for line in entries]
                     if len(entries) < count:
                         raise Malformed(f"POOL announces {count} entries but has {len(entries)}")
                     index += count
@@ -201,7 +201,7 @@
         if not context:
             raise Malformed(f"{word} before any CONTEXT")
         if word == "LAUNCH":
-            self.nodes[context] = Node(fields, whole(fields, "salt"), self.clock)
+            self.nodes[context] = Node(fields, integer(fields, "salt"), self.clock)
             return
         node = self.nodes.get(context)
         if node is None:
@@ -211,7 +211,7 @@
             if mode not in ROSTER_MODES:
                 raise Malformed(f"mode has an unknown value {mode!r}")
             if mode != "X":
-                page = whole(fields, "page")
+                page = integer(fields, "page")
                 if page not in self.pages:
                     raise Malformed(f"unknown page {page}: no POOL has defined it")
                 node.gateway.roster(self.clock, self.pages[page], complete=mode != "D")
--- a/merlintally/choice.py
+++ b/merlintally/choice.py
@@ -29,7 +29,7 @@
     StartFacts,
 )
 from merlintally.naming import count_name, phase
-from merlintally.notes import ROW, told, unpack
+from merlintally.notes import ROW, decode_note, encode_note
 from merlintally.ring import Ring, SampleRing
 from merlintally.slow_start import SlowStart
 
@@ -41,9 +41,9 @@
 UPDATE_FRESH_S = 0.3
 STALE_AFTER_S = 2.0  # without an update or use
 INITIAL_ANSWER_COUNT = 10  # weight of the initial guess of a lane's answer time, in answers
-KEEP = 60.0  # period of one counter of a customer
-RIGHT = 1.0  # a counter below its expected minimum by more than this many bursts is corrected
-PACE = 300.0  # of all gateways together
+EPOCH_S = 60.0  # period of one counter of a customer
+CORRECTION_BURSTS = 1.0  # a counter below its expected minimum by more than this many bursts is corrected
+MAX_COUNTER_CALLS_PER_S = 300.0  # of all gateways together
 SLOW_ANSWER_SHARE = 0.5  # of the counter's timeout
 CALL_RATE_FACTOR_FAILED = 0.7
 CALL_RATE_FACTOR_SLOW = 0.9
@@ -51,16 +51,16 @@
 CALL_RATE_RECOVERY_PER_S = 0.3  # as a share of the initial rate
 NOTE_MIN_INTERVAL_S = 0.05
 MAX_NOTES_PER_S = 60.0  # received by one gateway
-NOTES = (NOTE_MIN_INTERVAL_S, MAX_NOTES_PER_S)  # indexed by the laboratory
+NOTE_LIMITS = (NOTE_MIN_INTERVAL_S, MAX_NOTES_PER_S)  # indexed by the laboratory
 PEER_SILENT_AFTER_S = 1.0
 PEER_GONE_AFTER_S = 10.0
 EASY_LOAD_RATIO = 1.35
-SATURATED = 1.6
+SATURATED_LOAD_RATIO = 1.6
 MAX_LOAD_RATIO = 8.0  # cap on a single sample
 INITIAL_CONCURRENCY = 3.0  # at each server, of all gateways together
 MIN_CONCURRENCY_SHARE = 0.25  # of the initial concurrency
 MIN_CANDIDATES = 4
-FAMILIAR = 5.0
+RECENT_ANSWER_S = 5.0
 HEADROOM_FACTOR = 1.0  # in square roots of the total concurrency
 CONCURRENCY_GROWTH = 0.2  # per quick answer, as a share of the initial concurrency
 SLOWNESS_QUANTILE = 0.8
@@ -115,25 +115,25 @@
 
     def __init__(self, key: str, plan: PlanFacts, gateways: int, now: float, uptime: float) -> None:
         self.key, self.plan, self.gateways = key, plan, gateways
-        self.epoch_offset, self.soft = phase(key) * KEEP, plan.beyond_gain > plan.beyond_cost
+        self.epoch_offset, self.soft = phase(key) * EPOCH_S, plan.beyond_gain > plan.beyond_cost
         self.wall_shift = 0.0  # seconds by which the wall clock, which numbers the epochs, is ahead of `now`
         # Units left in the bucket; the uncapped balance may exceed the burst.
-        self.store = self.uncapped_balance = plan.burst
+        self.balance = self.uncapped_balance = plan.burst
         # Units: `unreported` were drawn here and are not in the counter; `soft_credit` is for use beyond
         # the quota. `peer_rate` is the use by other gateways in units per second.
         self.limiting_rate, self.peer_rate, self.unreported, self.soft_credit = float("inf"), 0.0, 0.0, 0.0
-        self.heard, self.at, self.last_used_at, self.sure = (
-            -KEEP,
+        self.last_update_at, self.advanced_at, self.last_used_at, self.notes_complete = (
+            -EPOCH_S,
             now,
             now,
             False,
         )
         # The customer's id in notes, and the units drawn here that no note has reported.
-        self.mark, self.drawn = int(self.epoch_offset / KEEP * 2**32), 0.0
-        self.asked: float | None = None  # units of the add in flight
+        self.mark, self.drawn = int(self.epoch_offset / EPOCH_S * 2**32), 0.0
+        self.pending_add: float | None = None  # units of the add in flight
         self.admitted_since_add, self.admitted_in_add = 0.0, 0.0  # units of whole submissions
         # The counter last added to; its total is 0 until it is known.
-        self.out, self.counter_name, self.counter_total = 0, 0, 0.0
+        self.in_flight, self.counter_name, self.counter_total = 0, 0, 0.0
         self.waiting: list[Submission] = []  # for the answer of the add in flight
         self.recent_requests, self.recent_units = (
             Ring(USAGE_BUCKET_S, USAGE_BUCKET_COUNT),
@@ -148,12 +148,16 @@
             plan.ceiling_rate / gateways,
             plan.ceiling_burst / gateways,
         )
-        self.part = min(self.ceiling_depth, self.ceiling_fill_rate * uptime)
+        self.ceiling_level = min(self.ceiling_depth, self.ceiling_fill_rate * uptime)
 
     @property
     def average_cost(self) -> float:
         """Mean units of a recent request."""
-        return self.recent_units.total(self.at) / (self.recent_requests.total(self.at) or float("inf")) or 1.0
+        return (
+            self.recent_units.total(self.advanced_at)
+            / (self.recent_requests.total(self.advanced_at) or float("inf"))
+            or 1.0
+        )
 
     @property
     def target(self) -> float:
@@ -165,29 +169,29 @@
 
     def advance(self, now: float) -> None:
         """Refill all buckets up to `now`."""
-        passed, self.at = max(0.0, now - self.at), now
-        unseen = 0.0 if self.sure else self.peer_rate
-        self.store = min(self.plan.burst, self.store + (self.plan.rate - unseen) * passed)
+        passed, self.advanced_at = max(0.0, now - self.advanced_at), now
+        unseen = 0.0 if self.notes_complete else self.peer_rate
+        self.balance = min(self.plan.burst, self.balance + (self.plan.rate - unseen) * passed)
         cost, soft_rate = self.average_cost, max(0.0, self.target - self.plan.rate) / self.gateways
         self.common_credit = min(
             self.common_credit + self.common_rate * passed, max(2 * cost, self.common_rate * 0.5)
         )
         self.soft_credit = min(self.soft_credit + soft_rate * passed, max(2 * cost, soft_rate))
-        self.part = min(self.ceiling_depth, self.part + self.ceiling_fill_rate * passed)
+        self.ceiling_level = min(self.ceiling_depth, self.ceiling_level + self.ceiling_fill_rate * passed)
 
-    def short_of_ceiling(self, units: float) -> bool:
+    def exceeds_ceiling(self, units: float) -> bool:
         """Whether this gateway's part of the ceiling has fewer than `units` left."""
-        return self.ceiling_fill_rate > 0 and self.part < units
+        return self.ceiling_fill_rate > 0 and self.ceiling_level < units
 
-    def inside(self, units: float, now: float) -> bool:
+    def within_quota(self, units: float, now: float) -> bool:
         """Whether the balance covers `units` and unreported use by peers, or the common rate grants them."""
         if self.plan.rate <= 0:
             return self.plan.open_limit > 0
-        if now - self.heard >= KEEP and self.gateways > 1:
+        if now - self.last_update_at >= EPOCH_S and self.gateways > 1:
             return self.common_credit >= min(units, self.average_cost)
-        age = NOTE_MIN_INTERVAL_S if self.sure else now - self.heard
+        age = NOTE_MIN_INTERVAL_S if self.notes_complete else now - self.last_update_at
         unseen = 0.0 if self.common_credit >= units else self.peer_rate * min(age, UPDATE_FRESH_S)
-        return self.store >= units + unseen or (self.common_credit >= units and age > UPDATE_FRESH_S)
+        return self.balance >= units + unseen or (self.common_credit >= units and age > UPDATE_FRESH_S)
 
     def draw(self, units: float, now: float) -> None:
         """Take a submission's units from the balance and record the use."""
@@ -199,8 +203,8 @@
 
     def settle(self, difference: float) -> None:
         """Change the units drawn here by `difference`."""
-        self.store, self.uncapped_balance = (
-            min(self.plan.burst, self.store - difference),
+        self.balance, self.uncapped_balance = (
+            min(self.plan.burst, self.balance - difference),
             self.uncapped_balance - difference,
         )
         self.unreported, self.drawn = self.unreported + difference, self.drawn + difference
@@ -211,8 +215,8 @@
         Otherwise the overdrafts of many gateways add up in the counter, and all refuse until it is refilled.
         """
         if units > 0:
-            self.store, self.uncapped_balance, self.unreported = (
-                self.store + units,
+            self.balance, self.uncapped_balance, self.unreported = (
+                self.balance + units,
                 self.uncapped_balance + units,
                 self.unreported - units,
             )
@@ -220,9 +224,9 @@
     def apply_peer_use(self, drawn: float, now: float) -> None:
         """Take units drawn by another gateway from the balance, down to 0 at most."""
         self.advance(now)
-        drawn = min(drawn, max(0.0, self.store))
-        self.store, self.uncapped_balance = (
-            min(self.plan.burst, self.store - drawn),
+        drawn = min(drawn, max(0.0, self.balance))
+        self.balance, self.uncapped_balance = (
+            min(self.plan.burst, self.balance - drawn),
             self.uncapped_balance - drawn,
         )
 
@@ -235,65 +239,65 @@
     def below_open_limit(self, now: float, answer_time: float) -> bool:
         """Whether an execution may start here: the plan's limit less the peers' part, or an even share."""
         limit, by_peers = (self.plan.open_limit, self.peer_rate / max(self.average_cost, 0.1) * answer_time)
-        return not limit or self.out < max(1, int(max(limit - by_peers, limit / self.gateways)))
+        return not limit or self.in_flight < max(1, int(max(limit - by_peers, limit / self.gateways)))
 
     def can_decide(self, units: float, now: float) -> bool:
         """Whether the last update is fresh, or peers cannot have changed its result for `units` since."""
-        age, max_change = now - self.heard, self.plan.rate * (now - self.heard)
-        unchanged = age < KEEP and (
+        age, max_change = now - self.last_update_at, self.plan.rate * (now - self.last_update_at)
+        unchanged = age < EPOCH_S and (
             self.uncapped_balance - units >= max_change or self.uncapped_balance + max_change < units
         )
         return (
             unchanged
-            or age < (KEEP if self.sure else UPDATE_FRESH_S)
+            or age < (EPOCH_S if self.notes_complete else UPDATE_FRESH_S)
             or self.gateways < 2
             or self.plan.rate <= 0
         )
 
     def epoch(self, now: float) -> tuple[int, float]:
         """The name of the current counter, and the seconds since its epoch began."""
-        number, passed = divmod(now + self.wall_shift + self.epoch_offset, KEEP)
+        number, passed = divmod(now + self.wall_shift + self.epoch_offset, EPOCH_S)
         return count_name(self.key, int(number)), passed
 
     def apply_count(self, total: float, added: float, now: float) -> None:
         """Update the balance from the counter's total, which includes `added` units of this gateway."""
         self.advance(now)
         since, burst, by_peers = (
-            now - self.heard,
+            now - self.last_update_at,
             self.plan.burst,
             total - self.counter_total - added,
         )
         # Otherwise each of many gateways admits one more submission by its credit while the bucket is empty.
         self.common_credit = min(self.common_credit, max(burst / self.gateways, self.common_rate * 0.5))
-        used, self.heard = total - self.plan.rate * self.epoch(now)[1], now
+        used, self.last_update_at = total - self.plan.rate * self.epoch(now)[1], now
         # After a long time without an update the deficit is unknown, and only `added` is carried over.
-        deficit = burst - self.store if since < STALE_AFTER_S else min(added, burst - self.store)
+        deficit = burst - self.balance if since < STALE_AFTER_S else min(added, burst - self.balance)
         if added > 0 and total <= added * 1.000001:  # a new counter: raise it to the use known here
             self.unreported, self.counter_total = self.unreported + deficit - used, 0.0
             return
-        if self.sure and since < KEEP:  # notes are more recent than the counter
+        if self.notes_complete and since < EPOCH_S:  # notes are more recent than the counter
             return
         if self.counter_total and by_peers >= 0:
             self.peer_rate += (min(self.plan.rate, by_peers / max(since, 0.02)) - self.peer_rate) * min(
                 1.0, since
             )
         self.uncapped_balance, self.counter_total = burst - used - self.unreported, total
-        self.store = min(burst, self.uncapped_balance)
+        self.balance = min(burst, self.uncapped_balance)
         # In steps, since other gateways may correct the same counter.
-        if -3 * RIGHT * burst < used < -RIGHT * burst:
-            self.unreported += min(RIGHT * burst, -used - RIGHT / 2 * burst)
+        if -3 * CORRECTION_BURSTS * burst < used < -CORRECTION_BURSTS * burst:
+            self.unreported += min(CORRECTION_BURSTS * burst, -used - CORRECTION_BURSTS / 2 * burst)
 
     def can_forget(self, now: float) -> bool:
         """Whether a new object for this customer would start in the same state."""
         self.advance(now)
-        unused, full = now - self.last_used_at, self.store >= self.plan.burst
+        unused, full = now - self.last_used_at, self.balance >= self.plan.burst
         # A new object assumes a ceiling filled since this gateway's start.
-        ceiling_full = self.part >= self.ceiling_depth
+        ceiling_full = self.ceiling_level >= self.ceiling_depth
         return (
             ceiling_full
-            and not self.out
-            and self.asked is None
-            and unused > (STALE_AFTER_S if full else KEEP)
+            and not self.in_flight
+            and self.pending_add is None
+            and unused > (STALE_AFTER_S if full else EPOCH_S)
         )
 
 
@@ -304,13 +308,13 @@
         self.name, self.zone, self.cell, self.size = facts.server, facts.zone, facts.cell, facts.size
         self.initial_concurrency = concurrency
         # By submission and execution number: start time, lane and units.
-        self.out: dict[tuple[int, int], tuple[float, Lane, float]] = {}
+        self.in_flight: dict[tuple[int, int], tuple[float, Lane, float]] = {}
         self.reset(facts)
 
     def reset(self, facts: ServerFacts) -> None:
         """Discard what was measured, for a server that has restarted."""
         self.presence, self.started = facts.presence, facts.started
-        self.places, self.load_ratio, self.slowness, self.retry_credit = (
+        self.concurrency, self.load_ratio, self.slowness, self.retry_credit = (
             self.initial_concurrency,
             1.0,
             1.0,
@@ -329,21 +333,25 @@
         health = min(1.0, 1 + self.usual_failure_rate - self.failure_rate) * (
             self.presence == "on" and now >= self.paused_until
         )
-        return self.places * health / self.slowness
+        return self.concurrency * health / self.slowness
 
-    def has_place(self, now: float) -> bool:
+    def has_capacity(self, now: float) -> bool:
         """Whether another execution may start here; an available server always gets one."""
-        return len(self.out) < max(1, int(usable)) if (usable := self.usable_concurrency(now)) > 0 else False
+        return (
+            len(self.in_flight) < max(1, int(usable))
+            if (usable := self.usable_concurrency(now)) > 0
+            else False
+        )
 
     def expected_time(self, now: float) -> float:
         """Expected time of the next execution in base times, weighted by the chance of failure."""
         queued = self.waiting * 0.2 / max(1.0, now - self.reported_at)
-        occupancy = 1 + len(self.out) / max(1.0, self.places) + queued
+        occupancy = 1 + len(self.in_flight) / max(1.0, self.concurrency) + queued
         return self.load_ratio * self.slowness * occupancy / (1.05 - self.failure_rate) ** 3
 
     def has_idle_connection(self, now: float) -> bool:
         """Whether a pooled connection is likely idle, so that a request needs no handshake."""
-        return self.idle_connections > 0 and now - self.last_answer_at < FAMILIAR
+        return self.idle_connections > 0 and now - self.last_answer_at < RECENT_ANSWER_S
 
     def record_outcome(
         self,
@@ -374,16 +382,18 @@
                 0.4, max(0.12, (now - self.last_answer_at) / 12)
             )
             self.last_answer_at = now
-            if (gateway_load_ratio or self.load_ratio) > SATURATED:
-                self.places = max(MIN_CONCURRENCY_SHARE * self.initial_concurrency, self.places * 0.94)
+            if (gateway_load_ratio or self.load_ratio) > SATURATED_LOAD_RATIO:
+                self.concurrency = max(
+                    MIN_CONCURRENCY_SHARE * self.initial_concurrency, self.concurrency * 0.94
+                )
         if outcome == "ok":
             lane.record_answer(elapsed, units)
             self.retry_credit = min(MAX_RETRY_CREDIT, self.retry_credit + RETRY_CREDIT_PER_ANSWER)
             self.failure_rate *= 0.8
-            if (gateway_load_ratio or self.load_ratio) < EASY_LOAD_RATIO and len(self.out) + 1 >= int(
-                self.places
+            if (gateway_load_ratio or self.load_ratio) < EASY_LOAD_RATIO and len(self.in_flight) + 1 >= int(
+                self.concurrency
             ):
-                self.places += growth
+                self.concurrency += growth
         elif outcome in ("error", "broken", "unreachable"):
             self.failure_rate += (1 - self.failure_rate) * 0.25
             self.paused_until = (
@@ -393,7 +403,7 @@
             )
         elif outcome == "full":
             self.paused_until, self.load_ratio = max(self.paused_until, now + 0.1), self.load_ratio * 1.05
-            self.places = max(MIN_CONCURRENCY_SHARE * self.initial_concurrency, self.places * 0.7)
+            self.concurrency = max(MIN_CONCURRENCY_SHARE * self.initial_concurrency, self.concurrency * 0.7)
 
 
 class Execution(NamedTuple):
@@ -419,24 +429,26 @@
         time_left: float,
     ) -> None:
         self.gateway, self.id, self.lane, self.customer = gateway, submission, lane, customer
-        self.units, self.count, self.taken_at, self.ends = (
+        self.units, self.execution_count, self.taken_at, self.ends_at = (
             units,
             0,
             now,
             now + time_left - DEADLINE_MARGIN_S,
         )
         # Latest time for a first execution, from which an answer within the quoted time is likely.
-        self.useful = min(now + lane.quoted_time - min(2 * lane.mean_time, 0.6 * lane.quoted_time), self.ends)
-        self.out: dict[int, AppServer] = {}
+        self.useful_until = min(
+            now + lane.quoted_time - min(2 * lane.mean_time, 0.6 * lane.quoted_time), self.ends_at
+        )
+        self.in_flight: dict[int, AppServer] = {}
         # By number: executions that are running, or that may have run before they failed.
         self.may_have_run: dict[int, Execution] = {}
-        self.closed = self.drawn = self.beyond = self.streaming = False
+        self.closed = self.drawn = self.beyond_quota = self.streaming = False
         self.refusal: Refusal | None = None  # reason, where it ended without a server's answer
 
     @property
     def settled(self) -> bool:
         """Whether it has its final answer and no execution is in flight."""
-        return self.closed and not self.out
+        return self.closed and not self.in_flight
 
     def ended(
         self,
@@ -452,34 +464,34 @@
 
         `actual` is the units that it used, or 0 if unknown. Executions that are not in flight are ignored.
         """
-        if (server := self.out.pop(number, None)) is None:
+        if (server := self.in_flight.pop(number, None)) is None:
             return
         gateway = self.gateway
-        server.out.pop((self.id, number), None)
-        self.customer.out -= 1
-        gateway.answer_count, gateway.out, units = (
+        server.in_flight.pop((self.id, number), None)
+        self.customer.in_flight -= 1
+        gateway.answer_count, gateway.in_flight, units = (
             gateway.answer_count + 1,
-            gateway.out - 1,
+            gateway.in_flight - 1,
             actual or self.units,
         )
         if outcome in ("ok", "timed_out"):
-            gateway.strain += (
-                min(MAX_LOAD_RATIO, self.lane.relative_time(elapsed, units)) - gateway.strain
+            gateway.load_ratio += (
+                min(MAX_LOAD_RATIO, self.lane.relative_time(elapsed, units)) - gateway.load_ratio
             ) * 0.12
-        shortage, work_waits = gateway.scarcity(now), any(gateway.lines.values())
+        shortage, work_waits = gateway.scarcity(now), any(gateway.queues.values())
         growth = (
             CONCURRENCY_GROWTH * server.initial_concurrency / math.sqrt(1 - shortage) if work_waits else 0.0
         )
-        load_ratio = gateway.strain if shortage else None
+        load_ratio = gateway.load_ratio if shortage else None
         server.record_outcome(now, self.lane, outcome, elapsed, units, report, growth, load_ratio)
-        gateway.good.add(now, float(outcome == "ok"))
+        gateway.recent_successes.add(now, float(outcome == "ok"))
         if outcome in ("full", "unreachable", "moot"):  # it never ran
             self.may_have_run.pop(number, None)
         if actual and self.drawn:
             self.customer.settle(actual - self.units)
         if over:
             self.left(now)
-        if not self.closed and not self.out:
+        if not self.closed and not self.in_flight:
             gateway.retry(now, self)
         gateway.dispatch(now)
 
@@ -505,7 +517,7 @@
         """Whether rule 2 allows a further execution, regardless of the server."""
         if not self.may_have_run or self.lane.effect == "harmless":
             return True
-        return self.lane.effect == "stamped" and now < self.begin_by(self.count)
+        return self.lane.effect == "stamped" and now < self.begin_by(self.execution_count)
 
     def begin_by(self, number: int) -> float:
         """The time until which rules 1 and 2 allow execution `number` to be written.
@@ -514,8 +526,8 @@
         """
         first = min((one.sent_at for at, one in self.may_have_run.items() if at < number), default=None)
         if first is None or self.lane.effect != "stamped":
-            return self.ends
-        return min(self.ends, first + self.lane.remembered - MAX_STALL_S - DEADLINE_MARGIN_S)
+            return self.ends_at
+        return min(self.ends_at, first + self.lane.remembered - MAX_STALL_S - DEADLINE_MARGIN_S)
 
 
 class Gateway:
@@ -528,26 +540,26 @@
         self.customers, self.customers_by_mark = dict[str, Customer](), dict[int, Customer]()
         self.servers, self.open_submissions = dict[str, AppServer](), dict[int, Submission]()
         self.slow_start = SlowStart(facts, self.random)
-        self.asking = dict[int, Customer]()  # by counter name
+        self.pending_adds = dict[int, Customer]()  # by counter name
         # By counter name: customer, units added, and units of that add which were sent to servers.
         self.timed_out_adds = dict[int, tuple[Customer, float, float]]()
         self.empty_share = dict[str, float]()  # by plan: share of first updates with an empty balance
         # Lowest priority: for submissions of unknown lanes and for those beyond the quota.
         self.unranked_lane = Lane(LaneFacts("", 1, 1, 0, 0, "one-shot", "cell", 0))
         order = [*sorted(self.lanes.values(), key=lambda lane: -lane.gain), self.unranked_lane]
-        self.lines = {lane: deque[Submission]() for lane in order}  # by priority
-        self.recent_sends, self.good, self.alarm, self.results = (
+        self.queues = {lane: deque[Submission]() for lane in order}  # by priority
+        self.recent_sends, self.recent_successes, self.wake_at, self.results = (
             Ring(0.25, 6),
             Ring(1.0, 10),
             0.0,
             Results(),
         )
-        self.pace, self.call_tokens, self.slow_answer_s = (
-            PACE / facts.gateways,
+        self.call_rate, self.call_tokens, self.slow_answer_s = (
+            MAX_COUNTER_CALLS_PER_S / facts.gateways,
             1.0,
             SLOW_ANSWER_SHARE * facts.count_time_out,
         )
-        self.answer_count, self.out, self.strain, self.usable_concurrency, self.concurrency_at = (
+        self.answer_count, self.in_flight, self.load_ratio, self.usable_concurrency, self.concurrency_at = (
             0,
             0,
             1.0,
@@ -557,8 +569,8 @@
         self.started = self.call_tokens_at = self.recomputed_at = self.swept_at = now
         self.wall_shift = 0.0
         # By number of the peer: the time of its last note.
-        peer_count, self.peers = facts.gateways - 1, dict[int, float]()
-        self.sharing = facts.gateways
+        peer_count, self.peer_seen_at = facts.gateways - 1, dict[int, float]()
+        self.gateways_per_server = facts.gateways
         self.sends_notes = (
             facts.may_note and 0 < facts.note_price * peer_count * ROW.size / 256 < facts.count_price
         )
@@ -596,7 +608,7 @@
             )
             if not customer.soft and self.random.random() >= probability:
                 customer.common_credit = plan.burst / gateways
-        customer.sure = self._receives_all_notes(now)
+        customer.notes_complete = self._receives_all_notes(now)
         handle = Submission(self, submission, lane, customer, units, now, time_left)
         self.open_submissions[submission] = handle
         if time_left <= DEADLINE_MARGIN_S:
@@ -617,15 +629,15 @@
 
     def share(self, gateways: int) -> None:
         """Set the number of gateways that send to one server, and scale the concurrency there."""
-        factor, self.sharing, self.concurrency_at = (
-            self.sharing / gateways,
+        factor, self.gateways_per_server, self.concurrency_at = (
+            self.gateways_per_server / gateways,
             gateways,
             -1.0,
         )
         for server in self.servers.values():
-            server.initial_concurrency, server.places = (
+            server.initial_concurrency, server.concurrency = (
                 server.initial_concurrency * factor,
-                server.places * factor,
+                server.concurrency * factor,
             )
 
     def roster(self, now: float, entries: Iterable[ServerFacts], complete: bool) -> None:
@@ -633,13 +645,17 @@
         for server in self.servers.values() if complete else ():
             server.presence = "gone"
         for entry in entries:
-            one = self.servers.setdefault(entry.server, AppServer(entry, INITIAL_CONCURRENCY / self.sharing))
+            one = self.servers.setdefault(
+                entry.server, AppServer(entry, INITIAL_CONCURRENCY / self.gateways_per_server)
+            )
             if entry.started > one.started:
                 one.reset(entry)
             one.presence, one.zone, one.cell, one.size = (entry.presence, entry.zone, entry.cell, entry.size)
             self.concurrency_at = -1.0
         # Servers that are gone would lower the mean concurrency in `scarcity`.
-        self.servers = {name: one for name, one in self.servers.items() if one.presence != "gone" or one.out}
+        self.servers = {
+            name: one for name, one in self.servers.items() if one.presence != "gone" or one.in_flight
+        }
         self.slow_start.update_servers(now, [one.size for one in self.servers.values()])
         self.dispatch(now)
 
@@ -650,13 +666,13 @@
 
         Decides the submissions that waited for it, and adapts the call rate to the counter's speed.
         """
-        customer = self.asking.pop(counter_name, None)
-        if customer is None or customer.asked is None:
+        customer = self.pending_adds.pop(counter_name, None)
+        if customer is None or customer.pending_add is None:
             return
-        added, customer.asked, first_update = (
-            customer.asked,
+        added, customer.pending_add, first_update = (
+            customer.pending_add,
             None,
-            now - customer.heard >= KEEP,
+            now - customer.last_update_at >= EPOCH_S,
         )
         if outcome == "ok":
             customer.apply_count(total, added, now)
@@ -665,13 +681,13 @@
                 self.empty_share[customer.plan.name] = (
                     share + ((customer.uncapped_balance < 0) - share) * EMPTY_SHARE_WEIGHT
                 )
-            self.pace = min(
-                PACE,
-                self.pace
+            self.call_rate = min(
+                MAX_COUNTER_CALLS_PER_S,
+                self.call_rate
                 * (CALL_RATE_FACTOR_SLOW if elapsed > self.slow_answer_s else CALL_RATE_FACTOR_QUICK),
             )
         else:  # an add that timed out may have been counted, so it is not repeated
-            self.pace *= (
+            self.call_rate *= (
                 CALL_RATE_FACTOR_FAILED if outcome != "timed_out" or elapsed > self.slow_answer_s else 1
             )
             customer.unreported += added if outcome != "timed_out" else 0.0
@@ -680,12 +696,14 @@
         for handle in waiting:
             if not handle.closed:
                 self._decide(now, handle)
-        if outcome == "ok" and not customer.sure:
-            customer.cancel_overdraft(min(sent_units, -customer.store))
+        if outcome == "ok" and not customer.notes_complete:
+            customer.cancel_overdraft(min(sent_units, -customer.balance))
         elif outcome == "timed_out":
-            unsent_units = sum(one.units for one in waiting if one.closed and not one.count)
+            unsent_units = sum(one.units for one in waiting if one.closed and not one.execution_count)
             self.timed_out_adds[counter_name] = (customer, added, customer.admitted_in_add - unsent_units)
-        needs_correction = customer.unreported < 0 or customer.unreported > RIGHT / 2 * customer.plan.burst
+        needs_correction = (
+            customer.unreported < 0 or customer.unreported > CORRECTION_BURSTS / 2 * customer.plan.burst
+        )
         self._report_use(now, customer, outcome == "ok" and needs_correction)
         self.dispatch(now)
 
@@ -696,27 +714,27 @@
         counter whose answers are all slightly late would give no information.
         """
         customer, added, sent_units = self.timed_out_adds.pop(counter_name, (None, 0.0, 0.0))
-        if customer is not None and customer.asked is None and counter_name == customer.counter_name:
+        if customer is not None and customer.pending_add is None and counter_name == customer.counter_name:
             customer.apply_count(total, added, now)
-            customer.cancel_overdraft(min(sent_units, -customer.store))
+            customer.cancel_overdraft(min(sent_units, -customer.balance))
 
     def noted(self, now: float, peer: int, payload: bytes) -> None:
         """Gateway number `peer` has sent a note of the units it has drawn."""
-        self.peers[peer] = now
-        for mark, drawn in unpack(payload):
+        self.peer_seen_at[peer] = now
+        for mark, drawn in decode_note(payload):
             if customer := self.customers_by_mark.get(mark):
                 customer.apply_peer_use(drawn, now)
 
     def _receives_all_notes(self, now: float) -> bool:
         """Whether every peer that is not gone has sent a note recently, so that little use is unseen."""
-        ages = [now - at for at in self.peers.values() if now - at < PEER_GONE_AFTER_S]
+        ages = [now - at for at in self.peer_seen_at.values() if now - at < PEER_GONE_AFTER_S]
         return self.sends_notes and 0 <= max(ages, default=-1.0) < PEER_SILENT_AFTER_S
 
     def wake(self, now: float) -> None:
         """Do the periodic work that is due: rates, expiry, dispatch and reports to the counter."""
-        if now < self.alarm - 0.0005:
+        if now < self.wake_at - 0.0005:
             return  # superseded by a later wake-up
-        self.alarm = 0.0
+        self.wake_at = 0.0
         if now - self.recomputed_at >= RECOMPUTE_INTERVAL_S * (
             1 if self.answer_count > len(self.servers) / 4 else 4
         ):
@@ -726,7 +744,7 @@
             for customer in self.customers.values():
                 if now - customer.last_used_at < STALE_AFTER_S:
                     customer.update_common_rate(now)
-        if now - self.swept_at >= KEEP / 8:
+        if now - self.swept_at >= EPOCH_S / 8:
             self.swept_at = now
             self.customers = {key: one for key, one in self.customers.items() if not one.can_forget(now)}
             self.customers_by_mark, self.timed_out_adds = (
@@ -736,23 +754,24 @@
         self._expire(now)
         self.dispatch(now)
         for customer in self.customers.values() if self._may_call(now, True) else ():
-            if customer.unreported and now - customer.last_used_at < KEEP / 4:
+            if customer.unreported and now - customer.last_used_at < EPOCH_S / 4:
                 self._report_use(now, customer)
 
     def take_results(self, now: float) -> Results:
         """Return the actions since the last call and clear them; a wake-up is always scheduled."""
         due = self.sends_notes and now - self.last_note_at >= self.note_interval_s
         if due and (
-            (note := told(self.customers.values())) or now - self.last_note_at > PEER_SILENT_AFTER_S / 2
+            (note := encode_note(self.customers.values()))
+            or now - self.last_note_at > PEER_SILENT_AFTER_S / 2
         ):
             self.results.notes.append(note)  # an empty note is a heartbeat
             self.last_note_at = now
-        work_waits = any(self.lines.values()) or self.asking
+        work_waits = any(self.queues.values()) or self.pending_adds
         after = WAKE_WAITING_S if work_waits else WAKE_OPEN_S if self.open_submissions else WAKE_IDLE_S
         # A timer that fired slightly early was ignored by `wake`, and no other may be set.
-        lost = now - self.alarm > WAKE_LOST_AFTER_S
-        if not self.alarm or lost or now + after < self.alarm - 0.0005:
-            self.alarm, self.results.wake_after = now + after, after
+        lost = now - self.wake_at > WAKE_LOST_AFTER_S
+        if not self.wake_at or lost or now + after < self.wake_at - 0.0005:
+            self.wake_at, self.results.wake_after = now + after, after
         results, self.results = self.results, Results()
         return results
 
@@ -761,14 +780,14 @@
 
         Its units are drawn in advance if the balance seems to cover them, so that the add claims them.
         """
-        customer, latest_call = handle.customer, handle.useful - 2 * self.facts.count_time_out
+        customer, latest_call = handle.customer, handle.useful_until - 2 * self.facts.count_time_out
         customer.advance(now)
         if not self.facts.may_count or now > latest_call or customer.can_decide(handle.units, now):
             return False
-        if customer.asked is None:
+        if customer.pending_add is None:
             if not self._may_call(now, customer.soft):  # calls for soft plans have lower priority
                 return False
-            if customer.store >= handle.units:
+            if customer.balance >= handle.units:
                 self._set_drawn(now, handle, True)
             self._send_add(now, customer)
         customer.waiting.append(handle)
@@ -778,27 +797,27 @@
         """Queue the submission or refuse it. Units already drawn stay so unless the balance is overdrawn."""
         customer, units = handle.customer, handle.units
         customer.advance(now)
-        if handle.drawn and customer.store < -0.01:
-            self._set_drawn(customer.at, handle, False)
-        within_quota = handle.drawn or customer.inside(units, now)
-        ahead = sum(len(queue) for lane, queue in self.lines.items() if lane.gain >= handle.lane.gain)
+        if handle.drawn and customer.balance < -0.01:
+            self._set_drawn(customer.advanced_at, handle, False)
+        within_quota = handle.drawn or customer.within_quota(units, now)
+        ahead = sum(len(queue) for lane, queue in self.queues.items() if lane.gain >= handle.lane.gain)
         service_rate = max(
             1.0, self.recent_sends.rate(now), self.scarcity(now) * self.allowed(now) / handle.lane.mean_time
         )
-        too_late = ahead / service_rate > handle.useful - now
+        too_late = ahead / service_rate > handle.useful_until - now
         if (
             not within_quota
             and customer.soft
             and customer.soft_credit >= units
-            and not any(self.lines.values())
+            and not any(self.queues.values())
         ):
             customer.soft_credit -= units
-            handle.beyond = True
+            handle.beyond_quota = True
         if too_late:
             return self.finish(now, handle, Refusal.LATE)
-        if customer.short_of_ceiling(units):
+        if customer.exceeds_ceiling(units):
             return self.finish(now, handle, Refusal.CEILING)
-        if not (within_quota or handle.beyond):
+        if not (within_quota or handle.beyond_quota):
             return self.finish(now, handle, Refusal.BEYOND_QUOTA)
         if within_quota and not handle.drawn:
             self._set_drawn(now, handle, True)
@@ -812,9 +831,9 @@
 
     def _report_use(self, now: float, customer: Customer, urgent: bool = False) -> None:
         """Add the unreported units to the counter once they are enough; `urgent` ignores the call rate."""
-        can_call = self.facts.may_count and customer.asked is None and customer.gateways > 1
+        can_call = self.facts.may_count and customer.pending_add is None and customer.gateways > 1
         cost = customer.average_cost
-        threshold = min(UNREPORTED_SHARE * max(customer.store, cost) / customer.gateways, cost / 2)
+        threshold = min(UNREPORTED_SHARE * max(customer.balance, cost) / customer.gateways, cost / 2)
         if can_call and abs(customer.unreported) >= threshold and (urgent or self._may_call(now, True)):
             self._send_add(now, customer)
 
@@ -825,11 +844,12 @@
         """
         passed, self.call_tokens_at = now - self.call_tokens_at, now
         # Recovers without answers, as failures alone would bring the rate down to 0.
-        if self.pace < (share := PACE / self.facts.gateways):
-            self.pace = min(share, self.pace + CALL_RATE_RECOVERY_PER_S * share * passed)
-        self.call_tokens = min(self.pace * 0.25 + 2, self.call_tokens + passed * self.pace)
+        if self.call_rate < (share := MAX_COUNTER_CALLS_PER_S / self.facts.gateways):
+            self.call_rate = min(share, self.call_rate + CALL_RATE_RECOVERY_PER_S * share * passed)
+        self.call_tokens = min(self.call_rate * 0.25 + 2, self.call_tokens + passed * self.call_rate)
         return (
-            self.call_tokens >= 1 + low_priority and len(self.asking) < 1 + self.pace * self.slow_answer_s / 2
+            self.call_tokens >= 1 + low_priority
+            and len(self.pending_adds) < 1 + self.call_rate * self.slow_answer_s / 2
         )
 
     def _send_add(self, now: float, customer: Customer) -> None:
@@ -838,20 +858,20 @@
         counter_name = customer.epoch(now)[0]
         if counter_name != customer.counter_name:
             customer.counter_name, customer.counter_total = counter_name, 0.0
-        self.asking[counter_name], customer.asked, customer.unreported = (
+        self.pending_adds[counter_name], customer.pending_add, customer.unreported = (
             customer,
             customer.unreported,
             0.0,
         )
         customer.admitted_in_add, customer.admitted_since_add = customer.admitted_since_add, 0.0
-        self.results.adds.append((counter_name, customer.asked, KEEP))
+        self.results.adds.append((counter_name, customer.pending_add, EPOCH_S))
 
     def finish(self, now: float, handle: Submission, why: Refusal) -> None:
         """End a submission without a server's answer: bounced where a resubmission is safe, else given up."""
         handle.refusal, customer, limit = why, handle.customer, self.facts.retry_after_limit
         if handle.may_bounce():
             # The retry time is when the balance should cover the units.
-            missing = handle.units - max(0.0, min(customer.store, customer.common_credit))
+            missing = handle.units - max(0.0, min(customer.balance, customer.common_credit))
             wait = missing / customer.common_rate if min(missing, customer.common_rate) > 0 else limit / 4
             self.results.bounced.append((handle.id, min(limit, max(0.05, wait))))
         else:
@@ -862,26 +882,28 @@
         """Mark a submission as answered; give back unused units and withdraw its executions in flight."""
         handle.closed, customer = True, handle.customer
         self.open_submissions.pop(handle.id, None)
-        if handle.drawn and not handle.count:
-            self._set_drawn(customer.at, handle, False)
+        if handle.drawn and not handle.execution_count:
+            self._set_drawn(customer.advanced_at, handle, False)
         if self.facts.may_withdraw and not handle.streaming:
-            self.results.withdrawn.extend((handle.id, number) for number in handle.out)
+            self.results.withdrawn.extend((handle.id, number) for number in handle.in_flight)
 
     def retry(self, now: float, handle: Submission) -> None:
         """Queue a submission whose executions have all failed, or end it."""
         lane, spent = (
             handle.lane,
-            now >= handle.ends or handle.count >= self.facts.most_executions,
+            now >= handle.ends_at or handle.execution_count >= self.facts.most_executions,
+        )
+        too_late = now > handle.useful_until and (
+            lane.late_gain <= 0 or now + lane.base_time > handle.ends_at
         )
-        too_late = now > handle.useful and (lane.late_gain <= 0 or now + lane.base_time > handle.ends)
         if too_late or spent or not handle.may_repeat(now):
             self.finish(now, handle, Refusal.NOT_AGAIN)
         else:
-            handle.useful = max(handle.useful, min(now + lane.mean_time, handle.ends))
+            handle.useful_until = max(handle.useful_until, min(now + lane.mean_time, handle.ends_at))
             self._queue(handle, True)
 
     def _queue(self, handle: Submission, first: bool) -> None:
-        queue = self.lines[self.unranked_lane if handle.beyond else handle.lane]
+        queue = self.queues[self.unranked_lane if handle.beyond_quota else handle.lane]
         queue.insert(0 if first else len(queue), handle)
 
     def total_concurrency(self, now: float) -> float:
@@ -896,7 +918,7 @@
     def scarcity(self, now: float) -> float:
         """How far the concurrency per server is below 1: near 1 with hundreds of gateways, 0 with few."""
         mean = self.total_concurrency(now) / max(1, len(self.servers))
-        return max(0.0, 1 - max(INITIAL_CONCURRENCY / self.sharing, mean))
+        return max(0.0, 1 - max(INITIAL_CONCURRENCY / self.gateways_per_server, mean))
 
     def allowed(self, now: float) -> float:
         """How many executions may be in flight.
@@ -904,32 +926,32 @@
         Where concurrency is scarce, headroom is added for random variation, and taken off under overload.
         """
         concurrency, shortage = self.total_concurrency(now), self.scarcity(now)
-        overload = float(max(1.0, self.strain / SATURATED) ** (2 * shortage))
+        overload = float(max(1.0, self.load_ratio / SATURATED_LOAD_RATIO) ** (2 * shortage))
         return max(1.0, (concurrency + HEADROOM_FACTOR * shortage * math.sqrt(concurrency)) / overload)
 
     def dispatch(self, now: float) -> None:
         """Send queued submissions by priority, as far as concurrency and the rules allow."""
-        if not any(self.lines.values()):
+        if not any(self.queues.values()):
             return
-        room = self.allowed(now) - self.out
-        free = [server for server in self.servers.values() if server.has_place(now)] if room >= 0.5 else []
-        for queue in self.lines.values():
+        room = self.allowed(now) - self.in_flight
+        free = [server for server in self.servers.values() if server.has_capacity(now)] if room >= 0.5 else []
+        for queue in self.queues.values():
             skipped: list[Submission] = []
             while queue and len(skipped) < MAX_SKIPPED and room >= 0.5 and free:
                 handle = queue.popleft()
-                if handle.closed or handle.out:
+                if handle.closed or handle.in_flight:
                     continue
-                first, customer = not handle.count, handle.customer
+                first, customer = not handle.execution_count, handle.customer
                 blocked = first and not customer.below_open_limit(now, handle.lane.mean_time)
-                if now >= handle.useful:
+                if now >= handle.useful_until:
                     self.finish(now, handle, Refusal.WAITED)
-                elif first and customer.short_of_ceiling(handle.units):
+                elif first and customer.exceeds_ceiling(handle.units):
                     self.finish(now, handle, Refusal.CEILING)
                 elif blocked or not (server := self._send_to_best(now, handle, free)):
                     skipped.append(handle)
                 else:
                     room -= 1
-                    if not server.has_place(now):
+                    if not server.has_capacity(now):
                         free.remove(server)
             queue.extendleft(reversed(skipped))
 
@@ -944,11 +966,11 @@
             max(MIN_CANDIDATES, int(self.total_concurrency(now))),
         )
         tried = [one.server for one in handle.may_have_run.values()]
-        if not handle.count and len(free) > sample_size:
-            recent = [server for server in free if now - server.last_answer_at < FAMILIAR]
+        if not handle.execution_count and len(free) > sample_size:
+            recent = [server for server in free if now - server.last_answer_at < RECENT_ANSWER_S]
             free = self.random.sample(free, sample_size) + recent
         for server in free:
-            if handle.count and (server.retry_credit < 1 or (server in tried and len(free) > 1)):
+            if handle.execution_count and (server.retry_credit < 1 or (server in tried and len(free) > 1)):
                 continue
             expected = server.expected_time(now) * (1 + 0.05 * self.random.random())
             expected += self.facts.cross_zone_price * 4 * (server.zone != self.facts.zone)
@@ -962,9 +984,9 @@
     def _may_send(self, now: float, handle: Submission, server: AppServer) -> str | None:
         """Check all rules, before every send: the name of the first that forbids it, or None."""
         lane, facts = handle.lane, self.facts
-        if handle.closed or now >= handle.ends or handle.count >= facts.most_executions:
+        if handle.closed or now >= handle.ends_at or handle.execution_count >= facts.most_executions:
             return "one final answer"
-        if (handle.out and not facts.parallel) or not handle.may_repeat(now):
+        if (handle.in_flight and not facts.parallel) or not handle.may_repeat(now):
             return "no effect twice"
         if lane.effect == "stamped" and lane.group != "all":
             for other in handle.may_have_run.values():
@@ -972,29 +994,33 @@
                     return "no effect twice"
         if server.presence != "on":
             return "drains"
-        if not self._cold_room(now, server):
+        if not self._slow_start_allows(now, server):
             return "cold server"
         handle.customer.advance(now)
-        return "ceiling" if not handle.count and handle.customer.short_of_ceiling(handle.units) else None
+        return (
+            "ceiling"
+            if not handle.execution_count and handle.customer.exceeds_ceiling(handle.units)
+            else None
+        )
 
-    def _cold_room(self, now: float, server: AppServer) -> bool:
-        return self.slow_start.has_room(now, server, self.good.rate(now))
+    def _slow_start_allows(self, now: float, server: AppServer) -> bool:
+        return self.slow_start.has_room(now, server, self.recent_successes.rate(now))
 
     def _send(self, now: float, handle: Submission, server: AppServer) -> None:
         """Record an execution as sent and add it to the results."""
-        number, customer = handle.count, handle.customer
+        number, customer = handle.execution_count, handle.customer
         server.retry_credit -= 1 if number else 0
-        customer.part -= 0 if number else handle.units
-        handle.count += 1
-        handle.out[number] = server
+        customer.ceiling_level -= 0 if number else handle.units
+        handle.execution_count += 1
+        handle.in_flight[number] = server
         handle.may_have_run[number] = Execution(server, now, server.zone, server.cell)
-        server.out[(handle.id, number)] = (now, handle.lane, handle.units)
-        self.slow_start.sent(server.name, server.started)
+        server.in_flight[(handle.id, number)] = (now, handle.lane, handle.units)
+        self.slow_start.record_send(server.name, server.started)
         server.idle_connections = max(0, server.idle_connections - 1)
         server.units_by_customer[customer.key] = (
             server.units_by_customer.get(customer.key, 0.0) + handle.units
         )
-        customer.out, self.out = customer.out + 1, self.out + 1
+        customer.in_flight, self.in_flight = customer.in_flight + 1, self.in_flight + 1
         self.recent_sends.add(now, 1.0)
         self.results.sends.append((handle.id, server.name, self._timeout(now, handle, server)))
 
@@ -1005,16 +1031,18 @@
         """
         mean, in_time = (
             handle.lane.mean_time,
-            min(handle.taken_at + handle.lane.quoted_time, handle.ends),
+            min(handle.taken_at + handle.lane.quoted_time, handle.ends_at),
         )
         timeout = TIMEOUT_FACTOR * mean / server.slowness
-        may_repeat = handle.lane.effect != "one-shot" and handle.count < self.facts.most_executions
+        may_repeat = handle.lane.effect != "one-shot" and handle.execution_count < self.facts.most_executions
         return timeout if may_repeat and now + timeout + mean < in_time else 0.0
 
     def _expire(self, now: float) -> None:
         """End submissions, queued or waiting for the counter, that can no longer be answered in time."""
-        groups = [*self.lines.values(), *(customer.waiting for customer in self.asking.values())]
-        for handle in [one for group in groups for one in group if now >= one.useful and not one.closed]:
+        groups = [*self.queues.values(), *(customer.waiting for customer in self.pending_adds.values())]
+        for handle in [
+            one for group in groups for one in group if now >= one.useful_until and not one.closed
+        ]:
             self.finish(now, handle, Refusal.WAITED)
 
     def _update_slowness(self, now: float) -> None:
@@ -1024,7 +1052,7 @@
         """
         quantiles = {}
         for server in self.servers.values():
-            running = [(now - sent_at, lane, units) for sent_at, lane, units in server.out.values()]
+            running = [(now - sent_at, lane, units) for sent_at, lane, units in server.in_flight.values()]
             ages = [lane.relative_time(age, units) for age, lane, units in running if age > lane.mean_time]
             samples = sorted(server.samples.values(now) + ages)
             if samples:
@@ -1048,7 +1076,9 @@
         over all servers applies; the zone with the most loaded server is ignored, as it may fail alone.
         """
         ratios = {
-            one: SATURATED / one.load_ratio for one in self.servers.values() if one.load_ratio > SATURATED
+            one: SATURATED_LOAD_RATIO / one.load_ratio
+            for one in self.servers.values()
+            if one.load_ratio > SATURATED_LOAD_RATIO
         }
         several_zones = len({one.zone for one in self.servers.values()}) > 1
         worst_zone = (
--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -33,7 +33,7 @@
 from merlintally.net.node import EdgeNode
 from merlintally.net.phases import Phase
 from merlintally.net.post import Post
-from merlintally.notes import told, unpack
+from merlintally.notes import decode_note, encode_note
 from merlintally.operators import ClusterPart
 
 QUEUE, AGAIN_S, RATE_S, CLIENT_S = 4096, 1.0, 2.0, 10.0
@@ -216,7 +216,7 @@
             await self.to_tell.wait()
             self.to_tell = anyio.Event()
             await self.dispatcher.post(self.dispatcher.take_out, self.core.edge.out())
-            while self.whole and (note := told(self.sums.values())):
+            while self.whole and (note := encode_note(self.sums.values())):
                 await self.dispatcher.post(self.dispatcher.noted, FELLOWS, note)
             if self.whole:
                 await self.dispatcher.post(self.dispatcher.noted, FELLOWS, b"")
@@ -232,7 +232,7 @@
         if copies is None:
             return
         while self.notes:
-            for mark, units in unpack(self.notes.popleft()):
+            for mark, units in decode_note(self.notes.popleft()):
                 copies.draw(now, f"{mark:08x}", units)
         self.whole = self.core.hears_all(now)
         if self.whole and now - self.heard_at > HEARD_S:
--- a/merlintally/facts.py
+++ b/merlintally/facts.py
@@ -8,12 +8,12 @@
 
 import math
 
-from merlintally.fields import Fields, boolean, known, number, text, whole
+from merlintally.fields import Fields, boolean, integer, lookup, number, text
 from merlintally.interface import Effect, Group, LaneFacts, PlanFacts, StartFacts
 
 EFFECTS: dict[str, Effect] = {"repeatable": "harmless", "by_key": "stamped", "once": "one-shot"}
 GROUPS: dict[str, Group] = {"all": "all", "zone": "zone", "cell": "cell"}
-REPORTED = {  # fields of a load report: names in the settings or on the wire, to those in the decisions
+REPORT_FIELDS = {  # fields of a load report: names in the settings or on the wire, to those in the decisions
     "outstanding": "held",
     "backlog": "waiting",
     "utilization": "busy",
@@ -31,13 +31,13 @@
 
 def reported_names(info: Fields) -> list[str]:
     """The fields of a load report in the order of the settings, by their names in the decisions."""
-    count = whole(info, "report.names.count", -1)
+    count = integer(info, "report.names.count", -1)
     names = (
         info.get("report.names", "").split(",")
         if count < 0
         else [info.get(f"report.names.{i}", "") for i in range(count)]
     )
-    return [REPORTED.get(name, name) for name in names]
+    return [REPORT_FIELDS.get(name, name) for name in names]
 
 
 def lane_facts(info: Fields, path: str) -> LaneFacts:
@@ -49,8 +49,8 @@
         hard_limit=hard_limit,
         gain=number(info, path + "importance", 1.0),
         late_gain=number(info, path + "lateWorth", 0.0),
-        effect=known(EFFECTS, info.get(path + "repeat", "once"), path + "repeat"),
-        discard_group=known(GROUPS, info.get(path + "keyScope", "cell"), path + "keyScope"),
+        effect=lookup(EFFECTS, info.get(path + "repeat", "once"), path + "repeat"),
+        discard_group=lookup(GROUPS, info.get(path + "keyScope", "cell"), path + "keyScope"),
         remembered=number(info, path + "windowS", 0.0),
     )
 
@@ -74,11 +74,11 @@
 def start_facts(info: Fields) -> StartFacts:
     """The facts of a gateway; absent settings take their defaults."""
     return StartFacts(
-        number=whole(info, "slotNo", 0),
-        gateways=whole(info, "balancers", 1),
+        number=integer(info, "slotNo", 0),
+        gateways=integer(info, "balancers", 1),
         zone=info.get("az", ""),
-        lanes=tuple(lane_facts(info, f"classes.{i}.") for i in range(whole(info, "classes.count", 0))),
-        plans=tuple(plan_facts(info, f"tariffs.{i}.") for i in range(whole(info, "tariffs.count", 0))),
+        lanes=tuple(lane_facts(info, f"classes.{i}.") for i in range(integer(info, "classes.count", 0))),
+        plans=tuple(plan_facts(info, f"tariffs.{i}.") for i in range(integer(info, "tariffs.count", 0))),
         largest_units=number(info, "familyInfo.largest") if "familyInfo.largest" in info else math.inf,
         settles=boolean(info, "familyInfo.postPaid"),
         may_count=boolean(info, "familyInfo.mayCount"),
@@ -88,7 +88,7 @@
         note_price=number(info, "prices.peer", 0.0),
         may_withdraw=boolean(info, "limits.mayCancel"),
         parallel=boolean(info, "limits.parallelTries"),
-        most_executions=whole(info, "limits.maxAttempts", 1),
+        most_executions=integer(info, "limits.maxAttempts", 1),
         retry_after_limit=number(info, "limits.maxRetryAfterS", 0.0) * boolean(info, "limits.retryAfter"),
         cross_zone_price=number(info, "prices.crossZone", 0.0),
         handshake_price=number(info, "prices.handshake", 0.0),
--- a/merlintally/fields.py
+++ b/merlintally/fields.py
@@ -21,7 +21,7 @@
         raise Malformed(f"field {name!r} is missing") from None
 
 
-def whole(fields: Fields, name: str, default: int | None = None) -> int:
+def integer(fields: Fields, name: str, default: int | None = None) -> int:
     """A whole number; Malformed if it is missing without a default, or invalid."""
     value = fields.get(name)
     if value is None and default is not None:
@@ -55,7 +55,7 @@
     return fields.get(name, "0") in ("1", "true")
 
 
-def known(table: dict[str, T], word: str, name: str) -> T:
+def lookup(table: dict[str, T], word: str, name: str) -> T:
     """The entry of `table` for the value `word` of a field; Malformed if there is none."""
     try:
         return table[word]
--- a/merlintally/lab/judge/account.py
+++ b/merlintally/lab/judge/account.py
@@ -18,20 +18,20 @@
 
 def age_of(customer: Any, now: float) -> str:
     """How old the counter's news of a customer are."""
-    age = now - customer.heard
+    age = now - customer.last_update_at
     return next((name for most, name in AGES if age < most), NEVER)
 
 
 def cause_of(handle: Any, now: float) -> str:
     """Why a submission is refused, from the state at that moment."""
     customer = handle.customer
-    if handle.count:
+    if handle.execution_count:
         return "after an execution"
-    if customer.short_of_ceiling(handle.units):
+    if customer.exceeds_ceiling(handle.units):
         return "the ceiling's part"
-    if now >= handle.useful:
+    if now >= handle.useful_until:
         return "held too long"
-    if handle.drawn or customer.inside(handle.units, now):
+    if handle.drawn or customer.within_quota(handle.units, now):
         return "the line is too long"
     return age_of(customer, now)
 
@@ -110,8 +110,10 @@
         def queued(gateway: Any, handle: Any, first: bool) -> Any:
             if not first:
                 how = "asked" if handle.id in self.asked else "not asked"
-                beyond = ", by the extra of soft plans" if handle.beyond else ""
-                self.admitted[handle.id] = f"{how}, {age_of(handle.customer, handle.customer.at)}{beyond}"
+                beyond = ", by the extra of soft plans" if handle.beyond_quota else ""
+                self.admitted[handle.id] = (
+                    f"{how}, {age_of(handle.customer, handle.customer.advanced_at)}{beyond}"
+                )
             return queue(gateway, handle, first)
 
         def asking(gateway: Any, now: float, handle: Any) -> Any:
--- a/merlintally/lab/scale/driver.py
+++ b/merlintally/lab/scale/driver.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from merlintally.choice import PACE, Gateway, Submission
+from merlintally.choice import MAX_COUNTER_CALLS_PER_S, Gateway, Submission
 from merlintally.interface import Outcome
 from merlintally.lab.scale.workload import REQUEST_CLASS, Arrivals, Tenant
 from merlintally.net.configuration import Deployment
@@ -97,7 +97,9 @@
         self.roster = Roster(subset_of(told), self.gateway, self._tell_roster)
         self.connections = connections
         if counter is not None and not counter.slow:
-            self.gateway.pace = PACE  # to which quick answers of the counter bring it within a minute
+            self.gateway.call_rate = (
+                MAX_COUNTER_CALLS_PER_S  # to which quick answers of the counter bring it within a minute
+            )
         self.answer_s, self.counter, self.watch = answer_s, counter, watch
         self.request_class, self.patience_s = REQUEST_CLASS, PATIENCE_S
         self.open: dict[int, Request] = {}
@@ -251,7 +253,7 @@
         self.totals.counter_calls += self.measuring
         if self.counter is not None:
             elapsed = self.random.uniform(*(SLOW_COUNTER_S if self.counter.slow else QUICK_COUNTER_S))
-            total = self.counter.add(self.now, self.gateway.asking[name].key, name, amount)
+            total = self.counter.add(self.now, self.gateway.pending_adds[name].key, name, amount)
             self.at(self.now + elapsed, self._counted, name, total, elapsed)
 
     def _finish(self, request: Request) -> None:
--- a/merlintally/lab/scale/noting.py
+++ b/merlintally/lab/scale/noting.py
@@ -1,7 +1,7 @@
 """The other nodes, where all tell all what they drew: each draw is one node's, and goes into its notes.
 
 Modelled: the nodes' draws, of tenants at random; the notes have the module's form (merlintally.notes) and its
-pace (choice.NOTES), come to the one real node without delay, and none is lost.
+pace (choice.NOTE_LIMITS), come to the one real node without delay, and none is lost.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from collections.abc import Iterable
 from random import Random
 
-from merlintally.choice import NOTES
+from merlintally.choice import NOTE_LIMITS
 from merlintally.lab.scale.driver import SimulatedNode
 from merlintally.lab.scale.usage import OtherNodes, Use, poisson
 from merlintally.lab.scale.workload import Tenant
 from merlintally.naming import phase
-from merlintally.notes import told
+from merlintally.notes import encode_note
 
 TICK_S = 0.1  # between rounds of the other nodes' draws
 
@@ -39,7 +39,7 @@
         self.weights = list(itertools.accumulate(one.requests_per_s for one in self.all))
         self.marks = {one.key: int(phase(one.key) * 2**32) for one in self.all}
         self.untold: list[dict[str, Drawn]] = [{} for _ in range(self.others)]
-        self.note_every = max(NOTES[0], self.others / NOTES[1])
+        self.note_every = max(NOTE_LIMITS[0], self.others / NOTE_LIMITS[1])
         self.chance = Random(seed + 1)
 
     def _drawn(self, use: Use, passed: float) -> int:
@@ -65,6 +65,6 @@
 
     def _tell(self, node: SimulatedNode, peer: int) -> None:
         untold = self.untold[peer]
-        node.noted(peer, told(untold.values()))
+        node.noted(peer, encode_note(untold.values()))
         self.untold[peer] = {key: one for key, one in untold.items() if one.drawn}
         node.at(node.now + self.note_every, self._tell, node, peer)
--- a/merlintally/lab/scale/slopes_connections.py
+++ b/merlintally/lab/scale/slopes_connections.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any, cast
 
-from merlintally.choice import FAMILIAR
+from merlintally.choice import RECENT_ANSWER_S
 from merlintally.lab.scale.driver import SimulatedNode, arrive_next
 from merlintally.lab.scale.receiver import most_links
 from merlintally.lab.scale.slope import Context, Costs, Derived, Slope
@@ -100,7 +100,7 @@
     def begun(self, now: float, request: int, number: int, server: str) -> None:
         self.clock.time = now
         self.attempts += 1
-        self.unfamiliar += now - self.answered_at.get(server, -FAMILIAR) >= FAMILIAR
+        self.unfamiliar += now - self.answered_at.get(server, -RECENT_ANSWER_S) >= RECENT_ANSWER_S
         self.links[request, number] = self.fleet.link_for(server)
 
     def ended(self, now: float, request: int, number: int, server: str) -> None:
@@ -115,7 +115,7 @@
         now = self.clock.time = self.node.now
         self.fleet.sweep()
         self.held.append(self.fleet.descriptors.held)
-        self.known.append(sum(now - at < FAMILIAR for at in self.answered_at.values()))
+        self.known.append(sum(now - at < RECENT_ANSWER_S for at in self.answered_at.values()))
         self.working.append(len(self.fleet.servers))
         self.node.at(now + SWEEP_S, self.sweep)
 
@@ -132,7 +132,7 @@
 
     held: float  # on average
     handshakes_per_request: float
-    unfamiliar_share: float  # of attempts: to an app server without an answer for FAMILIAR seconds
+    unfamiliar_share: float  # of attempts: to an app server without an answer for RECENT_ANSWER_S seconds
     known_share: float  # of app servers that the node works with: those with such an answer
 
 
--- a/merlintally/lab/scale/slopes_tenants.py
+++ b/merlintally/lab/scale/slopes_tenants.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import cache
 
-from merlintally.choice import KEEP, Customer
+from merlintally.choice import EPOCH_S, Customer
 from merlintally.lab.scale.capacity import Capacity
 from merlintally.lab.scale.driver import Request, SimulatedNode, Totals, feed
 from merlintally.lab.scale.noting import NotingNodes
@@ -71,19 +71,19 @@
         truth = self.others.use(tenant.key, now).store
         self.errors.append(abs(believed(customer, now) - truth) / tenant.burst)
         self.ages.append(self._age(customer, now))
-        self.heard_all += customer.sure
+        self.heard_all += customer.notes_complete
 
     def _age(self, customer: Customer, now: float) -> float:
         """Since the counter was heard of the tenant, or the other nodes on average, whichever is less."""
-        heard = self.node.gateway.peers.values()
-        notes = now - sum(heard) / len(heard) if heard else KEEP
-        return min(KEEP, notes, now - customer.heard)
+        heard = self.node.gateway.peer_seen_at.values()
+        notes = now - sum(heard) / len(heard) if heard else EPOCH_S
+        return min(EPOCH_S, notes, now - customer.last_update_at)
 
 
 def believed(customer: Customer, now: float) -> float:
     """What the module holds a tenant's store to be."""
-    passed = max(0.0, now - customer.at)
-    return min(customer.plan.burst, max(0.0, customer.store + customer.plan.rate * passed))
+    passed = max(0.0, now - customer.advanced_at)
+    return min(customer.plan.burst, max(0.0, customer.balance + customer.plan.rate * passed))
 
 
 @dataclass(frozen=True)
--- a/merlintally/lab/scale/usage.py
+++ b/merlintally/lab/scale/usage.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from merlintally.choice import KEEP, RIGHT
+from merlintally.choice import CORRECTION_BURSTS, EPOCH_S
 from merlintally.lab.scale.workload import Tenant
 from merlintally.naming import phase
 
@@ -61,7 +61,7 @@
         found = self._uses.get(key)
         if found is None:
             tenant = self._tenants[key]
-            found = self._uses[key] = Use(tenant, now, tenant.burst, phase(key) * KEEP)
+            found = self._uses[key] = Use(tenant, now, tenant.burst, phase(key) * EPOCH_S)
         passed, found.at = now - found.at, now
         fills_in = found.tenant.burst / found.tenant.quota
         if passed > FULL_AFTER * fills_in:  # use is below the quota: it was full again meanwhile
@@ -87,12 +87,12 @@
     def add(self, now: float, key: str, name: int, amount: float) -> float:
         """The count after the node's add."""
         use = self.use(key, now)
-        elapsed = (now + use.phase_s) % KEEP
+        elapsed = (now + use.phase_s) % EPOCH_S
         if name != use.count:
             use.count = name
             use.total = poisson(self.random, use.tenant.requests_per_s * self.others_share * elapsed)
         level = use.total - use.tenant.quota * elapsed
-        if level < -RIGHT * use.tenant.burst:  # the other nodes have put it right
-            use.total += -level - RIGHT / 2 * use.tenant.burst
+        if level < -CORRECTION_BURSTS * use.tenant.burst:  # the other nodes have put it right
+            use.total += -level - CORRECTION_BURSTS / 2 * use.tenant.burst
         use.total += amount
         return use.total
--- a/merlintally/lab/schedules/subset_cost.py
+++ b/merlintally/lab/schedules/subset_cost.py
@@ -61,7 +61,7 @@
         while out and out[0][0] <= now:
             _, handle = out.pop(0)
             began = time.perf_counter()
-            for at in list(handle.out):
+            for at in list(handle.in_flight):
                 handle.ended(now, at, "ok", ANSWER_S, True)
             gateway.take_results(now)
             spent += time.perf_counter() - began
--- a/merlintally/lab/schedules/subset_room.py
+++ b/merlintally/lab/schedules/subset_room.py
@@ -143,7 +143,7 @@
         self.tell(entries, True)
 
     def tell(self, entries: list[Listing], complete: bool) -> None:
-        if self.subset is not None and self.subset.sharing != self.gateway.sharing:
+        if self.subset is not None and self.subset.sharing != self.gateway.gateways_per_server:
             self.gateway.share(self.subset.sharing)
         self.gateway.roster(self.play.now, [entry.facts for entry in entries], complete)
 
@@ -212,13 +212,15 @@
     def send(self, number: int, server: Server, time_out: float) -> None:
         play = self.play
         handle, _ = self.handles[number]
-        attempt = Attempt(self, handle, handle.count - 1, server, play.now, play.chance.uniform(*WORK_S))
+        attempt = Attempt(
+            self, handle, handle.execution_count - 1, server, play.now, play.chance.uniform(*WORK_S)
+        )
         rested = self.idle.get(server.name)
         fresh = not rested or play.now - rested.pop() > IDLE_S
         if play.counts:
             play.found.attempts += 1
             play.found.handshakes += fresh
-        play.after(time_out or max(0.0, handle.ends - play.now), self.ended, attempt, "timed_out")
+        play.after(time_out or max(0.0, handle.ends_at - play.now), self.ended, attempt, "timed_out")
         play.arrive(server, attempt)
 
 
--- a/merlintally/net/configuration.py
+++ b/merlintally/net/configuration.py
@@ -8,8 +8,8 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from merlintally.facts import REPORTED, reported_names, start_facts
-from merlintally.fields import Fields, Malformed, known, number, text, whole
+from merlintally.facts import REPORT_FIELDS, reported_names, start_facts
+from merlintally.fields import Fields, Malformed, integer, lookup, number, text
 from merlintally.interface import Presence, ServerFacts, StartFacts
 from merlintally.subsets import USUAL, Terms
 
@@ -172,12 +172,12 @@
     if not isinstance(entry, Mapping):
         raise Malformed(f"an app server is no object but {entry!r:.60}")
     values = flat(dict(entry))
-    status = known(PRESENCES, text(values, "status"), "status")
+    status = lookup(PRESENCES, text(values, "status"), "status")
     facts = ServerFacts(
         server=text(values, "name"),
         presence=status,
         zone=values.get("zone", ""),
-        cell=whole(values, "group", 0),
+        cell=integer(values, "group", 0),
         started=number(values, "since_ms", 0.0) / 1000,
         size=number(values, "weight", 1.0),
         machine=values.get("type", ""),
@@ -257,7 +257,7 @@
     info = flat(given["settings"])
     try:
         facts, names = start_facts(info), reported_names(info)
-        most_open = whole(info, "limits.maxOpen", 20000)
+        most_open = integer(info, "limits.maxOpen", 20000)
         connect_time_out = number(info, "limits.connectTimeoutS", 0.25)
         idle_close = number(info, "limits.idleCloseS", 15.0)
     except Malformed as wrong:
@@ -298,7 +298,7 @@
         known=tuple(servers),
         known_index=version,
         facts=facts,
-        reported={name: told for name, told in REPORTED.items() if told in names},
+        reported={name: told for name, told in REPORT_FIELDS.items() if told in names},
         most_open=most_open,
         connect_time_out=connect_time_out,
         idle_close=idle_close,
--- a/merlintally/net/dispatcher.py
+++ b/merlintally/net/dispatcher.py
@@ -170,7 +170,7 @@
         if answer.value:
             self._pass_on(request, [answer.value])
         if request.handle is not None:
-            server = request.handle.out.get(attempt.number)
+            server = request.handle.in_flight.get(attempt.number)
             request.handle.ended(
                 now,
                 attempt.number,
--- a/merlintally/net/requests.py
+++ b/merlintally/net/requests.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from merlintally.fields import Fields, Malformed, number, text, whole
+from merlintally.fields import Fields, Malformed, integer, number, text
 from merlintally.interface import LoadReport, Outcome, StartFacts
 from merlintally.net.resp import Span
 from merlintally.net.sockets import Buffer
@@ -93,11 +93,11 @@
         for numeral in ("d", "units", "spread", "first"):
             if not NUMERAL.fullmatch(text(terms, numeral)):
                 raise Malformed(f"field {numeral!r} is no number from 0 to a billion")
-        limit, self.units, self.spread = whole(terms, "d"), number(terms, "units"), whole(terms, "spread")
+        limit, self.units, self.spread = integer(terms, "d"), number(terms, "units"), integer(terms, "spread")
         # Guards against units drawn from a customer in whose name somebody else sends what can't be.
         if not 0 < self.units <= facts.largest_units:
             raise Malformed("field 'units' is not above 0, or beyond the largest")
-        if not 1 <= self.spread <= facts.gateways or whole(terms, "first") >= facts.gateways:
+        if not 1 <= self.spread <= facts.gateways or integer(terms, "first") >= facts.gateways:
             raise Malformed("fields 'spread' and 'first' name no set of gateways")
         # Guards against a stated wait of weeks, for as long as which all that belongs to it would be kept.
         self.deadline, self.size = arrived + min(limit / 1000, lane.hard_limit), len(raw) + BESIDE
--- a/merlintally/net/roster.py
+++ b/merlintally/net/roster.py
@@ -55,6 +55,6 @@
             self._share_and_tell(self.subset.members(), True)
 
     def _share_and_tell(self, entries: Sequence[Listing], complete: bool) -> None:
-        if self.subset is not None and self.subset.sharing != self._gateway.sharing:
+        if self.subset is not None and self.subset.sharing != self._gateway.gateways_per_server:
             self._gateway.share(self.subset.sharing)
         self._tell(entries, complete)
--- a/merlintally/notes.py
+++ b/merlintally/notes.py
@@ -20,14 +20,14 @@
     drawn: float  # units not yet reported
 
 
-def told(customers: Iterable[Drawn]) -> bytes:
+def encode_note(customers: Iterable[Drawn]) -> bytes:
     """Encode a note of all units not yet reported and subtract them from `drawn`.
 
     Units beyond the range of a row, and customers beyond the size of a note, are left for the next one.
 
     >>> from types import SimpleNamespace
     >>> one = SimpleNamespace(mark=7, drawn=65.25)
-    >>> list(unpack(told([one]))), one.drawn, list(unpack(told([one])))
+    >>> list(decode_note(encode_note([one]))), one.drawn, list(decode_note(encode_note([one])))
     ([(7, 63.5)], 1.75, [(7, 2.0)])
     """
     note = bytearray()
@@ -39,10 +39,10 @@
     return bytes(note)
 
 
-def unpack(note: bytes) -> Iterator[tuple[int, float]]:
+def decode_note(note: bytes) -> Iterator[tuple[int, float]]:
     """Decode a note into marks and units drawn; a note of invalid length has no rows.
 
-    >>> list(unpack(b"seven b"))
+    >>> list(decode_note(b"seven b"))
     []
     """
     if len(note) % ROW.size == 0:
--- a/merlintally/slow_start.py
+++ b/merlintally/slow_start.py
@@ -71,7 +71,7 @@
         slot = self._slot(now, server, answers_per_s)
         return slot.sent < slot.limit
 
-    def sent(self, name: str, started: float) -> None:
+    def record_send(self, name: str, started: float) -> None:
         """Count a request against the budget of a server."""
         if (slot := self._slots.get((name, started))) is not None:
             slot.sent += 1
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -85,7 +85,7 @@
 def customer(plan: PlanFacts = PLAN, gateways: int = 2, uptime: float = 100.0) -> Customer:
     """A customer of whom the counter has just told that its store is full."""
     made = Customer("c", plan, gateways, 100.0, uptime)
-    made.heard = 100.0
+    made.last_update_at = 100.0
     return made
 
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -21,7 +21,7 @@
 from merlintally.cluster.node import ClusterNode
 from merlintally.lab.schedules.copies import play
 from merlintally.net.log import Log
-from merlintally.notes import told, unpack
+from merlintally.notes import decode_note, encode_note
 from merlintally.operators import ClusterPart
 
 
@@ -247,16 +247,16 @@
         part = ClusterPart(name="c", folder=str(tmp_path), listen="127.0.0.1:1", voters=("a",), copies=1)
         node = ClusterNode(part, "a", 1, Disk(tmp_path), log)
         node._summed([("000000ff", 40.0)])  # drawn before this start heard of it, and long flowed back
-        assert told(node.sums.values()) == b""
+        assert encode_note(node.sums.values()) == b""
         node._summed([("000000ff", 43.5)])
-        assert list(unpack(told(node.sums.values()))) == [(255, 3.5)]
-        assert told(node.sums.values()) == b""
+        assert list(decode_note(encode_note(node.sums.values()))) == [(255, 3.5)]
+        assert encode_note(node.sums.values()) == b""
         node._summed([("000000ff", 1e12)])
         handed_on = 0
-        while told(node.sums.values()):
+        while encode_note(node.sums.values()):
             handed_on += 1
         assert handed_on < 10
-        node.tell(told([SimpleNamespace(mark=255, drawn=2.0)]))
+        node.tell(encode_note([SimpleNamespace(mark=255, drawn=2.0)]))
         node._drawn(100.0)
         assert node.core.copies is not None and node.core.copies.store.used("000000ff") == 2.0
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -383,7 +383,7 @@
     """Send the cold server all that may be sent now; gives how much that was."""
     handle, before = take(at, next(IDS), now=now), len(at.results.sends)
     server = at.servers["cold"]
-    while at._cold_room(now, server):
+    while at._slow_start_allows(now, server):
         at._send(now, handle, server)
     return len(at.results.sends) - before
 
@@ -393,7 +393,7 @@
     made = gateway(gateways=gateways)
     made.random.seed(seed)
     made.roster(100.0, [COLD], complete=False)
-    made.good.add(100.0, answers_per_s * 10)
+    made.recent_successes.add(100.0, answers_per_s * 10)
     return made
 
 
@@ -401,7 +401,7 @@
     at = cold_gateway(1, 1, 80.0)
     sent = spend(at, 100.1)
     assert sent > 0
-    at.servers["cold"].out.clear()
+    at.servers["cold"].in_flight.clear()
     at.roster(100.2, [replace(COLD, presence="gone")], complete=False)
     at.roster(100.3, [COLD], complete=False)
     assert spend(at, 100.4) == 0
@@ -559,12 +559,12 @@
     at.customers.clear()
     take(at, now=1000.0)
     one = at.customers["c"]
-    one.part, one.out, one.asked = 0.0, 0, None
+    one.ceiling_level, one.in_flight, one.pending_add = 0.0, 0, None
     for now in (1061.0, 1070.0, 1080.0):
-        at.alarm = 0.0
+        at.wake_at = 0.0
         at.wake(now)
     take(at, 2, now=1081.0)
-    assert at.customers["c"].part <= deep.ceiling_rate / 2 * 81.0 + 0.01
+    assert at.customers["c"].ceiling_level <= deep.ceiling_rate / 2 * 81.0 + 0.01
 
 
 def test_a_repeat_goes_by_the_group_in_which_the_first_one_ran() -> None:
@@ -573,7 +573,7 @@
     handle = take(at)
     assert [server for _, server, _ in at.take_results(100.0).sends] == ["s1"]
     at.roster(100.1, [replace(SERVER, cell=5)], complete=True)
-    handle.out.clear()
+    handle.in_flight.clear()
     assert at._may_send(100.2, handle, at.servers["s1"]) == "no effect twice"
 
 
@@ -619,7 +619,7 @@
 def test_a_repeat_begins_within_its_window_though_the_node_is_held_up_before_it_writes() -> None:
     at = gateway((lane(effect="stamped", discard_group="all", remembered=1.0),))
     handle = take(at)
-    handle.out.clear()
+    handle.in_flight.clear()
     assert handle.may_repeat(100.8) and not handle.may_repeat(100.86)
     assert handle.begin_by(1) + 0.15 <= 101.0
 
@@ -738,7 +738,7 @@
     for size in (4.0, 1.0):
         at = gateway(gateways=1)
         at.roster(100.0, [*large, replace(COLD, size=size)], complete=True)
-        at.good.add(100.0, 8 * 200.0 * 10)
+        at.recent_successes.add(100.0, 8 * 200.0 * 10)
         budgets.append(spend(at, 100.5))
     of_large, of_small = budgets
     assert of_large > 20 and of_small <= 0.31 * of_large
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -17,7 +17,7 @@
 def test_beyond_quota_is_refused_at_once_with_a_retry_time() -> None:
     decisions = gateway()
     take(decisions)
-    decisions.customers["c"].store = 0.0
+    decisions.customers["c"].balance = 0.0
     assert take(decisions, 2).settled
     ((number, wait),) = decisions.take_results(100.0).bounced
     assert number == 2 and 0 < wait <= 2.0
@@ -41,18 +41,18 @@
     decisions.roster(100.0, [], complete=True)
     handle = take(decisions)
     assert not handle.closed and not decisions.take_results(100.0).sends
-    decisions.wake(handle.useful)
-    assert handle.closed and decisions.take_results(handle.useful).bounced
+    decisions.wake(handle.useful_until)
+    assert handle.closed and decisions.take_results(handle.useful_until).bounced
 
 
 def test_submissions_held_by_the_open_limit_expire_by_their_own_lane() -> None:
     decisions = gateway((lane(), lane(name="long", quoted_time=3.0)), replace(PLAN, open_limit=1))
-    decisions.servers["s1"].places = 9.0
+    decisions.servers["s1"].concurrency = 9.0
     take(decisions, 1)
     long, short = take(decisions, 2, lane_name="long"), take(decisions, 3)
     assert len(decisions.take_results(100.0).sends) == 1
-    decisions.alarm = 0.0
-    decisions.wake(short.useful)
+    decisions.wake_at = 0.0
+    decisions.wake(short.useful_until)
     assert short.closed and not long.closed
 
 
@@ -75,7 +75,7 @@
         decisions = gateway(gateways=300)
         decisions.random.seed(number)
         decisions.roster(100.0, [replace(SERVER, started=99.9)], complete=False)
-        sent += decisions._cold_room(100.0, decisions.servers["s1"])
+        sent += decisions._slow_start_allows(100.0, decisions.servers["s1"])
     assert sent <= 3  # about one request per window while no gateway has measured answer rates
 
 
@@ -84,16 +84,16 @@
     server = decisions.servers["s1"]
     server.started = 99.9
     decisions.random.random = lambda: 1.0  # type: ignore[method-assign]  # rounds the budget down
-    assert not decisions._cold_room(100.0, server)
+    assert not decisions._slow_start_allows(100.0, server)
     decisions.random.random = lambda: 0.0  # type: ignore[method-assign]
-    assert not any(decisions._cold_room(100.0, server) for _ in range(50))
+    assert not any(decisions._slow_start_allows(100.0, server) for _ in range(50))
 
 
 def test_ceiling_is_checked_before_the_send() -> None:
     decisions = gateway()
     decisions.roster(100.0, [replace(SERVER, presence="draining")], complete=True)
     handle = take(decisions)
-    decisions.customers["c"].part = 0.0
+    decisions.customers["c"].ceiling_level = 0.0
     decisions.servers["s1"].presence = "on"
     assert decisions._may_send(100.0, handle, decisions.servers["s1"]) == "ceiling"
 
@@ -140,7 +140,7 @@
     server = decisions.servers["s1"]
     for _ in range(4):
         server.record_outcome(100.0, decisions.lanes["lane"], "error", 0.001, 1.0, None, 0.0)
-    assert not server.has_place(100.5) and server.has_place(102.0)
+    assert not server.has_capacity(100.5) and server.has_capacity(102.0)
 
 
 def test_silent_server_is_found_slow_by_executions_in_flight() -> None:
@@ -149,7 +149,7 @@
     row = decisions.lanes["lane"]
     for name in ("s2", "s3", "s4", "s5"):
         decisions.servers[name].samples.add(105.0, 1.0)
-    decisions.servers["s1"].out = {(n, 0): (100.0, row, 1.0) for n in range(4)}
+    decisions.servers["s1"].in_flight = {(n, 0): (100.0, row, 1.0) for n in range(4)}
     decisions._update_slowness(105.0)
     assert decisions.servers["s1"].slowness > 2 > decisions.servers["s2"].slowness
 
@@ -167,7 +167,7 @@
 def test_load_of_all_servers_limits_a_gateway_with_scarce_concurrency() -> None:
     decisions = gateway(gateways=300)
     decisions.roster(100.0, [replace(SERVER, server=f"s{n}") for n in range(60)], complete=True)
-    decisions.strain, calm = 4.0, decisions.allowed(100.0)
+    decisions.load_ratio, calm = 4.0, decisions.allowed(100.0)
     assert 1.0 <= decisions.allowed(100.0) < calm
 
 
@@ -200,11 +200,11 @@
 def test_concurrency_grows_only_while_work_waits() -> None:
     decisions = gateway()
     server, row = decisions.servers["s1"], decisions.lanes["lane"]
-    before = server.places
+    before = server.concurrency
     server.record_outcome(100.0, row, "ok", row.base_time, 1.0, None, 0.0)
-    assert server.places == before
+    assert server.concurrency == before
     server.record_outcome(100.0, row, "ok", row.base_time, 1.0, None, 0.5)
-    assert server.places > before
+    assert server.concurrency > before
 
 
 def test_neither_short_first_answers_nor_large_submissions_make_idle_servers_look_loaded() -> None:
@@ -235,16 +235,16 @@
     handle.ended(101.0, 0, "ok", 1.0, True)
     handle.ended(101.0, 0, "ok", 1.0, True)
     handle.left(101.0)
-    assert handle.settled and decisions.customers["c"].out == 0
+    assert handle.settled and decisions.customers["c"].in_flight == 0
 
 
 def test_units_of_a_submission_never_sent_are_given_back() -> None:
     decisions = gateway()
     decisions.roster(100.0, [], complete=True)
     handle = take(decisions)
-    assert decisions.customers["c"].store == PLAN.burst - 1
+    assert decisions.customers["c"].balance == PLAN.burst - 1
     handle.left(100.0)
-    assert decisions.customers["c"].store == PLAN.burst
+    assert decisions.customers["c"].balance == PLAN.burst
 
 
 def test_missing_or_excessive_spread_does_not_raise_the_part_of_the_ceiling() -> None:
@@ -269,7 +269,7 @@
         decisions.random.seed(seed)
         decisions.roster(100.0, [replace(SERVER, started=99.0)], complete=True)
         server = decisions.servers["s1"]
-        got += any(decisions._cold_room(100.0 + slot, server) for slot in range(8))
+        got += any(decisions._slow_start_allows(100.0 + slot, server) for slot in range(8))
     assert got >= 10
 
 
@@ -293,7 +293,7 @@
     decisions._update_slowness(100.0)
     alike, alone = decisions.servers["s0"], decisions.servers["s1"]
     alike.record_outcome(100.0, decisions.lanes["lane"], "broken", 0.001, 1.0, None, 0.0)
-    assert alike.usable_concurrency(100.0) > 0.8 * alike.places
+    assert alike.usable_concurrency(100.0) > 0.8 * alike.concurrency
     for name in ("s0", "s2", "s3"):
         decisions.servers[name].failure_rate = 0.0
     decisions._update_slowness(100.0)
@@ -317,11 +317,13 @@
             one = gateway(gateways=gateways)
             one.random.seed(1000 * seed + number)
             one.roster(100.0, [replace(SERVER, server="cold", started=100.0)], complete=False)
-            one.good.add(100.0, 2 * ability / gateways * 10)  # answers of two servers in ten seconds
-            assert abs(one.good.rate(101.99) / 2 * gateways - ability) < 0.3 * ability
+            one.recent_successes.add(
+                100.0, 2 * ability / gateways * 10
+            )  # answers of two servers in ten seconds
+            assert abs(one.recent_successes.rate(101.99) / 2 * gateways - ability) < 0.3 * ability
             for now in (101.99, 102.0):  # on both sides of the limit between two slots
-                while one._cold_room(now, one.servers["cold"]):
-                    one.slow_start.sent("cold", 100.0)
+                while one._slow_start_allows(now, one.servers["cold"]):
+                    one.slow_start.record_send("cold", 100.0)
                     requests[-1] += 1
     assert max(requests) <= budget + 3 * budget**0.5 + 3
     assert sum(one > budget + 2 * budget**0.5 + 2 for one in requests) <= 2
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -337,9 +337,9 @@
         return made
 
     subset, whole = node(False), node(True)
-    assert len(whole.gateway.servers) == MANY and whole.gateway.sharing == 20
+    assert len(whole.gateway.servers) == MANY and whole.gateway.gateways_per_server == 20
     before = list(subset.gateway.servers)
-    assert USUAL.least <= len(before) < MANY / 2 and subset.gateway.sharing < 20
+    assert USUAL.least <= len(before) < MANY / 2 and subset.gateway.gateways_per_server < 20
     for name in before[:-10]:  # the subset takes on others for those that don't answer
         for _ in range(USUAL.unanswered):
             subset.roster.ended(subset.now, name, "timed_out")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -177,10 +177,10 @@
     one = taken(said())
     one.deadline = dispatcher.clock.now() + 1.0
     dispatcher.take(one)
-    assert dispatcher.gateway.out == 1
+    assert dispatcher.gateway.in_flight == 1
     dispatcher.left(one)
     dispatcher.carry_out()
-    assert (dispatcher.gateway.out, dispatcher.open_requests, dispatcher.ids, log.getvalue()) == (
+    assert (dispatcher.gateway.in_flight, dispatcher.open_requests, dispatcher.ids, log.getvalue()) == (
         0,
         {},
         set(),
@@ -431,4 +431,4 @@
     dispatcher.take(one)
     dispatcher.carry_out()
     assert dispatcher.right.may_send.call_args.args == ("s",) and not dispatcher.fleet.send.called
-    assert one.out == {} and dispatcher.gateway.out == 0
+    assert one.out == {} and dispatcher.gateway.in_flight == 0
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -270,17 +270,17 @@
             (100.0, [*(changed(one, "draining") for one in warm[3:]), *cold[:3]]),
         ):
             rows, complete = subset.listed(now, listed, now == 99.0)
-            if subset.sharing != made.sharing:
+            if subset.sharing != made.gateways_per_server:
                 made.share(subset.sharing)
             made.roster(now, [row.facts for row in rows], complete)
         assert subset.whole
         made.roster(100.0, [one.facts for one in cold], complete=False)
         for at in range(10 * int(answers)):
-            made.good.add(90.0 + at / answers, 1.0)
+            made.recent_successes.add(90.0 + at / answers, 1.0)
         for one in cold:
             server_there = made.servers[one.facts.server]
-            while made._cold_room(100.1, server_there):
-                made.slow_start.sent(one.facts.server, 100.0)
+            while made._slow_start_allows(100.1, server_there):
+                made.slow_start.record_send(one.facts.server, 100.0)
                 sent += 1
     able = nodes * answers / (len(warm) + len(cold)) * facts.tip_window  # of one server, within the window
     assert 0.2 < sent / len(cold) / (facts.tip_multiple * facts.cold_share * able) <= 1
@@ -315,13 +315,13 @@
     assert made.subset is not None
     inside = members(made.subset)
     assert set(made.gateway.servers) == inside == members(small(number=3)[0]) and 6 <= len(inside) < 30
-    assert made.gateway.sharing == 2 and made.gateway.servers[min(inside)].places == 1.5
+    assert made.gateway.gateways_per_server == 2 and made.gateway.servers[min(inside)].concurrency == 1.5
     assert made.fleet.told == [(inside, True)]  # type: ignore[attr-defined]
 
 
 def test_off_or_short_the_decisions_know_the_list() -> None:
     for made in (keeper_of(None, 60), keeper_of(USUAL, 60)):
-        assert len(made.gateway.servers) == 60 and made.gateway.sharing == NODES
+        assert len(made.gateway.servers) == 60 and made.gateway.gateways_per_server == NODES
     strange = told()
     assert subset_of(replace(strange, facts=replace(strange.facts, number=9))) is None
 
@@ -344,7 +344,7 @@
     )
     grown = set(made.gateway.servers)
     busy = made.gateway.servers[min(grown - inside)]
-    busy.out[1, 0] = (now, next(iter(made.gateway.lanes.values())), 1.0)
+    busy.in_flight[1, 0] = (now, next(iter(made.gateway.lanes.values())), 1.0)
     made.listed([Listed(*one) for one in entries(60) if one.facts.server in inside], False)
     assert set(made.gateway.servers) == grown
     made.subset._shrinks_at = now
@@ -363,19 +363,19 @@
     before = len(made.gateway.servers)
     made._fit_subset()
     assert len(made.gateway.servers) == before
-    next(iter(made.gateway.lines.values())).append(Line())  # type: ignore[arg-type]
+    next(iter(made.gateway.queues.values())).append(Line())  # type: ignore[arg-type]
     made._fit_subset()
     made._fit_subset()
     assert len(made.gateway.servers) == before  # places are free: it waits for something else
-    made.gateway.out = 1000
-    made.gateway.strain = 2.0  # the servers answer slowly: it may be so everywhere
+    made.gateway.in_flight = 1000
+    made.gateway.load_ratio = 2.0  # the servers answer slowly: it may be so everywhere
     made._fit_subset()
     made._fit_subset()
     assert len(made.gateway.servers) == before
-    made.gateway.strain = 1.0
+    made.gateway.load_ratio = 1.0
     made._fit_subset()
     made._fit_subset()
-    assert len(made.gateway.servers) > before and made.gateway.sharing == 2
+    assert len(made.gateway.servers) > before and made.gateway.gateways_per_server == 2
 
 
 Act = Callable[[Scene, Dispatcher], Awaitable[None]]
--- a/tests/test_throttler.py
+++ b/tests/test_throttler.py
@@ -23,8 +23,8 @@
 
 
 def test_restart_does_not_refill_the_part_of_the_ceiling() -> None:
-    assert customer(uptime=0.0).part == 0.0
-    assert customer(uptime=1.0).part == PLAN.ceiling_rate / 2
+    assert customer(uptime=0.0).ceiling_level == 0.0
+    assert customer(uptime=1.0).ceiling_level == PLAN.ceiling_rate / 2
 
 
 def test_parts_of_all_gateways_sum_to_the_ceiling() -> None:
@@ -35,66 +35,72 @@
 
 def test_first_add_raises_a_new_counter_to_the_use_known_here() -> None:
     one = customer()
-    one.store = 3.0
+    one.balance = 3.0
     one.apply_count(1.0, 1.0, 100.0)
     since = one.epoch(100.0)[1]
-    assert one.store == 3.0
+    assert one.balance == 3.0
     assert abs(1.0 + one.unreported - PLAN.rate * since - (PLAN.burst - 3.0)) < 1e-6
 
 
 def test_stale_balance_is_not_added_to_a_new_counter() -> None:
     one = customer()
-    one.heard, one.store = 60.0, -90.0
+    one.last_update_at, one.balance = 60.0, -90.0
     one.apply_count(1.0, 1.0, 100.0)
     assert abs(1.0 + one.unreported - PLAN.rate * one.epoch(100.0)[1] - 1.0) < 1e-6
 
 
 def test_common_rate_grants_units_after_a_stale_update() -> None:
     one = customer()
-    one.store, one.common_credit = -5.0, 2.0
-    assert not one.inside(1.0, 100.1) and one.inside(1.0, 101.0)
+    one.balance, one.common_credit = -5.0, 2.0
+    assert not one.within_quota(1.0, 100.1) and one.within_quota(1.0, 101.0)
 
 
 def test_update_reduces_the_initial_credit_to_an_even_share() -> None:
     """Otherwise each of 150 gateways admits one more unit while the bucket of eight units is empty."""
     one = customer(gateways=150)
-    one.heard = 0.0
-    assert one.inside(1.0, 100.0)
+    one.last_update_at = 0.0
+    assert one.within_quota(1.0, 100.0)
     one.apply_count(PLAN.rate * one.epoch(100.0)[1] + 9.0, 0.0, 100.0)
-    assert not one.inside(1.0, 100.1) and not one.inside(1.0, 100.4)
+    assert not one.within_quota(1.0, 100.1) and not one.within_quota(1.0, 100.4)
 
 
 def test_update_sets_the_balance_from_the_counter() -> None:
     one = customer()
     one.apply_count(PLAN.rate * one.epoch(100.0)[1] + 5.0, 0.0, 100.0)
-    assert abs(one.store - (PLAN.burst - 5.0)) < 1e-6
+    assert abs(one.balance - (PLAN.burst - 5.0)) < 1e-6
 
 
 def test_peer_use_reduces_the_balance_to_zero_at_most() -> None:
     """Otherwise sends at the same moment leave a debt, and submissions are refused until it is refilled."""
     one = customer()
     one.apply_peer_use(3.0, 100.0)
-    assert one.store == PLAN.burst - 3.0
+    assert one.balance == PLAN.burst - 3.0
     one.apply_peer_use(PLAN.burst, 100.0)
-    assert one.store == 0.0
+    assert one.balance == 0.0
     one.apply_peer_use(-2.0, 100.0)
-    assert one.store == 2.0
+    assert one.balance == 2.0
 
 
 def test_balance_decides_without_the_counter_while_notes_are_complete() -> None:
     one = customer()
-    one.store, one.uncapped_balance, one.common_credit, one.peer_rate, one.sure = 3.0, 3.0, 0.0, 2.0, True
-    assert one.can_decide(2.0, 110.0) and one.inside(2.0, 110.0) and not one.inside(3.0, 110.0)
-    one.sure = False
-    assert not one.can_decide(2.0, 110.0) and not one.inside(2.8, 110.0)
+    one.balance, one.uncapped_balance, one.common_credit, one.peer_rate, one.notes_complete = (
+        3.0,
+        3.0,
+        0.0,
+        2.0,
+        True,
+    )
+    assert one.can_decide(2.0, 110.0) and one.within_quota(2.0, 110.0) and not one.within_quota(3.0, 110.0)
+    one.notes_complete = False
+    assert not one.can_decide(2.0, 110.0) and not one.within_quota(2.8, 110.0)
 
 
 def test_update_keeps_the_balance_known_from_notes_unless_the_last_update_is_an_epoch_old() -> None:
     for updated_at, balance in ((90.0, 3.0), (30.0, 5.0)):
         one = customer()
-        one.heard, one.store, one.sure, one.at = updated_at, 3.0, True, 100.0
+        one.last_update_at, one.balance, one.notes_complete, one.advanced_at = updated_at, 3.0, True, 100.0
         one.apply_count(PLAN.rate * one.epoch(100.0)[1] + 3.0, 0.0, 100.0)
-        assert abs(one.store - balance) < 1e-6
+        assert abs(one.balance - balance) < 1e-6
 
 
 def gateway_with_notes(**changes: Any) -> Gateway:
@@ -111,7 +117,7 @@
     (note,) = here.take_results(100.1).notes
     assert here.take_results(100.2).notes == []
     there.noted(100.2, 0, note)
-    assert there.customers["c"].store == PLAN.burst - 1.0
+    assert there.customers["c"].balance == PLAN.burst - 1.0
 
 
 def test_notes_are_sent_only_where_they_cost_less_than_counter_calls() -> None:
@@ -135,7 +141,7 @@
 def test_counter_far_below_its_minimum_is_corrected_in_steps() -> None:
     one = customer()
     one.apply_count(PLAN.rate * one.epoch(100.0)[1] - 1.5 * PLAN.burst, 0.0, 100.0)
-    assert one.store == PLAN.burst and 0 < one.unreported <= PLAN.burst
+    assert one.balance == PLAN.burst and 0 < one.unreported <= PLAN.burst
 
 
 def test_old_update_decides_only_what_peers_cannot_have_changed() -> None:
@@ -155,14 +161,14 @@
 
 def test_settled_units_are_given_back() -> None:
     one = customer()
-    one.store = 2.0
+    one.balance = 2.0
     one.settle(-1.5)
-    assert one.store == 3.5
+    assert one.balance == 3.5
 
 
 def test_submission_waits_for_the_counter_and_its_units_are_given_back_when_refused() -> None:
     decisions = gateway()
-    decisions.customers["c"].heard = 0.0
+    decisions.customers["c"].last_update_at = 0.0
     handle = take(decisions)
     ((name, claimed, _),) = decisions.take_results(100.0).adds
     assert not handle.closed and claimed == 1.0
@@ -174,7 +180,7 @@
 
 def test_submission_is_decided_without_an_answer_of_the_counter() -> None:
     decisions = gateway()
-    decisions.customers["c"].heard = 0.0
+    decisions.customers["c"].last_update_at = 0.0
     take(decisions)
     ((name, _, _),) = decisions.take_results(100.0).adds
     decisions.counted(100.05, name, "timed_out", 0.0, 0.05)
@@ -185,29 +191,29 @@
     """Otherwise a counter whose answers are all slightly late gives no information."""
     decisions = gateway()
     one = decisions.customers["c"]
-    one.heard = 0.0
+    one.last_update_at = 0.0
     take(decisions)
     ((name, _, _),) = decisions.take_results(100.0).adds
     decisions.counted(100.05, name, "timed_out", 0.0, 0.05)
     decisions.counted_late(100.06, name, PLAN.rate * one.epoch(100.06)[1] + PLAN.burst - 2.0)
-    assert one.heard == 100.06 and one.store == pytest.approx(2.0)
+    assert one.last_update_at == 100.06 and one.balance == pytest.approx(2.0)
 
 
 def test_call_rate_recovers_after_failures() -> None:
     decisions = gateway()
-    decisions.pace = 0.0
+    decisions.call_rate = 0.0
     decisions._may_call(110.0)
-    assert decisions.pace > 1.0
+    assert decisions.call_rate > 1.0
 
 
 def test_calls_in_flight_to_a_slow_counter_are_limited() -> None:
     """The limit holds whatever number of call tokens is left."""
     decisions = gateway()
-    decisions.call_tokens, decisions.call_tokens_at, decisions.pace = 50.0, 100.0, 100.0
-    decisions.asking = {number: decisions.customers["c"] for number in range(4)}
+    decisions.call_tokens, decisions.call_tokens_at, decisions.call_rate = 50.0, 100.0, 100.0
+    decisions.pending_adds = {number: decisions.customers["c"] for number in range(4)}
     assert not decisions._may_call(100.0)
-    decisions.asking.popitem()
-    decisions.asking.popitem()
+    decisions.pending_adds.popitem()
+    decisions.pending_adds.popitem()
     assert decisions._may_call(100.0)
 
 
@@ -215,27 +221,27 @@
     """Otherwise it would take many failures to reduce it once the counter slows."""
     decisions = gateway()
     for _ in range(500):
-        decisions.asking[1], decisions.customers["c"].asked = decisions.customers["c"], 0.0
+        decisions.pending_adds[1], decisions.customers["c"].pending_add = decisions.customers["c"], 0.0
         decisions.counted(100.0, 1, "ok", 2.0, 0.001)
-    assert decisions.pace < 1000.0
+    assert decisions.call_rate < 1000.0
 
 
 def test_quick_timeout_outcome_does_not_count_as_a_slow_counter() -> None:
     decisions = gateway()
     for elapsed, slows in ((0.002, False), (0.05, True)):
-        one, rate_before = decisions.customers["c"], decisions.pace
-        decisions.asking[1], one.asked = one, 2.0
+        one, rate_before = decisions.customers["c"], decisions.call_rate
+        decisions.pending_adds[1], one.pending_add = one, 2.0
         decisions.counted(100.0, 1, "timed_out", 0.0, elapsed)
-        assert (decisions.pace < rate_before) == slows
+        assert (decisions.call_rate < rate_before) == slows
 
 
 def test_refused_add_is_repeated_and_lowers_the_call_rate() -> None:
     decisions = gateway()
-    one, rate_before = decisions.customers["c"], decisions.pace
-    one.asked, one.unreported, decisions.asking = 3.0, 0.0, {7: one}
+    one, rate_before = decisions.customers["c"], decisions.call_rate
+    one.pending_add, one.unreported, decisions.pending_adds = 3.0, 0.0, {7: one}
     decisions.call_tokens_at = 100.0
     decisions.counted(100.0, 7, "full", 0.0, 0.01)
-    assert one.unreported + (one.asked or 0.0) == 3.0 and decisions.pace < rate_before
+    assert one.unreported + (one.pending_add or 0.0) == 3.0 and decisions.call_rate < rate_before
 
 
 def test_idle_customers_are_forgotten() -> None:
@@ -243,7 +249,7 @@
     for number in range(50):
         take(decisions, number, key=f"once-{number}").left(100.0)
     for one in decisions.customers.values():
-        one.out, one.asked = 0, None
+        one.in_flight, one.pending_add = 0, None
     decisions.wake(200.0)
     assert not decisions.customers
 
@@ -268,13 +274,13 @@
     name, passed = one.epoch(100.0)
     # The peers had used the whole burst.
     decisions.counted(100.0, name, "ok", PLAN.rate * passed + PLAN.burst + 4.0, 0.001)
-    assert one.store == pytest.approx(0.0) and decisions.results.adds[-1][1] == pytest.approx(-4.0)
+    assert one.balance == pytest.approx(0.0) and decisions.results.adds[-1][1] == pytest.approx(-4.0)
 
 
 def test_units_claimed_for_a_refused_submission_are_given_back_once() -> None:
     decisions = gateway()
     one = decisions.customers["c"]
-    one.heard = 90.0
+    one.last_update_at = 90.0
     handle = take(decisions, units=2.0)
     name, passed = one.epoch(100.0)
     assert not handle.closed and decisions.results.adds[-1][1] == 2.0
@@ -289,17 +295,17 @@
     """Otherwise each of many gateways admits one submission beyond the quota that it could not ask for."""
     decisions = gateway(gateways=150, may_count=True, plan=replace(PLAN, ceiling_rate=0.0, beyond_cost=1.0))
     for number in range(60):
-        decisions.pace = decisions.call_tokens = 9.0
+        decisions.call_rate = decisions.call_tokens = 9.0
         decisions.take(100.0, number, "lane", f"asked{number}", "plan", 4.0, 1.0, 150)
-        ((name, one),) = decisions.asking.items()
+        ((name, one),) = decisions.pending_adds.items()
         decisions.counted(
-            100.0, name, "ok", one.epoch(100.0)[1] * PLAN.rate + drawn + (one.asked or 0.0), 0.001
+            100.0, name, "ok", one.epoch(100.0)[1] * PLAN.rate + drawn + (one.pending_add or 0.0), 0.001
         )
-        decisions.asking.clear()
-    decisions.call_tokens, decisions.pace, decisions.call_tokens_at, admitted = 0.0, 0.0, 100.0, 0
+        decisions.pending_adds.clear()
+    decisions.call_tokens, decisions.call_rate, decisions.call_tokens_at, admitted = 0.0, 0.0, 100.0, 0
     for number in range(200):
         # Keep the queue short, so that no submission is refused for its length.
-        decisions.lines[decisions.lanes["lane"]].clear()
+        decisions.queues[decisions.lanes["lane"]].clear()
         admitted += not decisions.take(
             100.0, 1000 + number, "lane", f"new{number}", "plan", 4.0, 1.0, 150
         ).closed
