--- a/merlintally/net/node.py
+++ b/merlintally/net/node.py
@@ -42,8 +42,10 @@
 from merlintally.subsets import USUAL, Terms
 
 SWEEP_S = 0.25  # between looks at what idles, stalls or is overdue
-LEAST_BACKLOG, MOST_BACKLOG = 128, 1024  # connections that the system accepted and the node has not
-READ_TRIES, READ_PAUSE_S = 10, 0.1  # of the configuration at a start
+MIN_BACKLOG = 128
+MAX_BACKLOG = 1024
+READ_TRIES = 10
+READ_PAUSE_S = 0.1
 FREED_LATER = frozenset(
     {
         errno.EADDRINUSE,
@@ -80,7 +82,7 @@
         """Take the addresses to listen at, or raise OSError. `serve` does it where it was not done."""
         self.listening_since = time.monotonic()
         # With those that wait, clients hold no more than the limit of descriptors while app servers need few.
-        backlog = min(MOST_BACKLOG, max(LEAST_BACKLOG, self.deployment.server_descriptors))
+        backlog = min(MAX_BACKLOG, max(MIN_BACKLOG, self.deployment.server_descriptors))
         with ExitStack() as bound:
             listener = bound.enter_context(socket.create_server(self.deployment.listen, backlog=backlog))
             listener.setblocking(False)
--- a/merlintally/net/sockets.py
+++ b/merlintally/net/sockets.py
@@ -15,7 +15,8 @@
 
 Buffer = bytes | bytearray | memoryview
 GATHERED = 64  # buffers in one write, well below what any system allows
-FIRST_SIZE, MOST_SIZE = 2048, 160 << 10  # of the buffer a connection reads into: two of the largest values
+INITIAL_BUFFER_BYTES = 2048
+MAX_BUFFER_BYTES = 160 << 10  # holds two of the largest values of a message
 RETRY_S = 0.01  # until a call that failed for want of something is made again
 SHORTAGES = frozenset({errno.ENOBUFS, errno.ENOMEM})  # the connection is as it was
 # Of the way to the other side: the connection may live on; where it does not, the next call tells its end.
@@ -86,8 +87,8 @@
 
     def __init__(self, sock: socket.socket, held: Allowance | None = None, waits: bool = True) -> None:
         self.sock, self.closed, self.was_reset = sock, False, False
-        self.held, self.waits = held or Allowance(MOST_SIZE), waits
-        self.buffer, self.start, self.end = bytearray(FIRST_SIZE), 0, 0
+        self.held, self.waits = held or Allowance(MAX_BUFFER_BYTES), waits
+        self.buffer, self.start, self.end = bytearray(INITIAL_BUFFER_BYTES), 0, 0
         self.unsent: list[Buffer] = []
 
     async def receive(self) -> int:
@@ -129,9 +130,9 @@
     def _make_room(self) -> None:
         if self.start == self.end:
             self.start = self.end = 0
-            if len(self.buffer) > FIRST_SIZE:
-                self.held.give(len(self.buffer) - FIRST_SIZE)
-                self.buffer = bytearray(FIRST_SIZE)
+            if len(self.buffer) > INITIAL_BUFFER_BYTES:
+                self.held.give(len(self.buffer) - INITIAL_BUFFER_BYTES)
+                self.buffer = bytearray(INITIAL_BUFFER_BYTES)
         elif self.start and self.end == len(self.buffer):
             kept = self.buffer[self.start : self.end]
             self.buffer[: len(kept)] = kept
@@ -139,13 +140,13 @@
 
     def _grow(self) -> None:
         if self.end == len(self.buffer):
-            more = min(len(self.buffer) * 3, max(0, MOST_SIZE - len(self.buffer)))
+            more = min(len(self.buffer) * 3, max(0, MAX_BUFFER_BYTES - len(self.buffer)))
             self.held.take(more)
             self.buffer.extend(bytes(more))
 
     @property
     def overfull(self) -> bool:
-        return self.end - self.start >= MOST_SIZE
+        return self.end - self.start >= MAX_BUFFER_BYTES
 
     def write(self, buffers: Sequence[Buffer]) -> bool:
         """Write at once what can be; whether nothing is left, else `flush` has to follow."""
@@ -209,7 +210,7 @@
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.held.give(len(self.buffer) - FIRST_SIZE)
+            self.held.give(len(self.buffer) - INITIAL_BUFFER_BYTES)
             anyio.notify_closing(self.sock)
             with suppress(OSError):  # the descriptor is free all the same
                 self.sock.close()
