--- a/merlintally/net/node.py
+++ b/merlintally/net/node.py
@@ -1,4 +1,4 @@
-"""One edge node: all its parts, from start to exit."""
+"""The edge node: builds its components, runs them from start to exit, and reloads its configuration."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 from merlintally.net.timers import Clock, Timers
 from merlintally.subsets import USUAL, Terms
 
-SWEEP_S = 0.25  # between looks at what idles, stalls or is overdue
+SWEEP_S = 0.25  # between checks for idle and stalled connections, and overdue requests
 MIN_BACKLOG = 128
 MAX_BACKLOG = 1024
 READ_TRIES = 10
 READ_PAUSE_S = 0.1
-FREED_LATER = frozenset(
+TRANSIENT_ERRORS = frozenset(
     {
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
@@ -62,10 +62,10 @@
 
 
 class EdgeNode:
-    """An edge node to run or to embed: `await node.serve()` ends some time after `node.leave()`.
+    """An edge node, to be run by `main` or embedded: `await node.serve()` returns after `node.leave()`.
 
-    Several may run in one process; they share nothing. `parts` are further tasks that stand beside it until
-    all it took is answered; each is given the node and the owner of its decisions.
+    Several nodes can run in one process; they share no state. `parts` are further tasks that run until all
+    accepted requests are answered; each is called with the node and its dispatcher.
     """
 
     def __init__(self, deployment: Deployment, log: Log | None = None, parts: Iterable[Part] = ()) -> None:
@@ -79,33 +79,35 @@
         self.counter: Counter | None = None
 
     def bind(self) -> None:
-        """Take the addresses to listen at, or raise OSError. `serve` does it where it was not done."""
+        """Binds the listening sockets; raises OSError. `serve` does so if it has not been done before."""
         self.listening_since = time.monotonic()
-        # With those that wait, clients hold no more than the limit of descriptors while app servers need few.
+        # Accepted and waiting clients together stay within the descriptor limit while app servers need few.
         backlog = min(MAX_BACKLOG, max(MIN_BACKLOG, self.deployment.server_descriptors))
-        with ExitStack() as bound:
-            listener = bound.enter_context(socket.create_server(self.deployment.listen, backlog=backlog))
+        with ExitStack() as stack:
+            listener = stack.enter_context(socket.create_server(self.deployment.listen, backlog=backlog))
             listener.setblocking(False)
             if self.deployment.peer_listen is not None:
-                peer_sock = bound.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
+                peer_sock = stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
                 peer_sock.setblocking(False)
                 peer_sock.bind(self.deployment.peer_listen)
                 self.peer_sock = peer_sock
             self.listener = listener
-            bound.pop_all()  # both are taken: they end with the node
+            stack.pop_all()  # both sockets are bound: `serve` closes them
 
     @property
     def address(self) -> Address:
+        """Where the node listens for clients, once bound."""
         assert self.listener is not None, "not bound"
-        found: Address = self.listener.getsockname()
-        return found
+        bound: Address = self.listener.getsockname()
+        return bound
 
     def leave(self) -> None:
-        """Stop: take what still comes for a while, answer all that was taken, then end."""
+        """Starts a graceful shutdown: requests are accepted a little longer, then all open ones answered."""
         self.phases.enter(Phase.LEAVING)
 
     def reload(self, after: Deployment) -> None:
-        """Take up another configuration: where discovery and the counter are. The rest is told of."""
+        """Applies the addresses of discovery and the counter from a new configuration; logs other changes,
+        which take a restart."""
         if fixed := fixed_changes(self.deployment, after):
             self.log.say(
                 f"configuration: changes only with a restart: {', '.join(fixed)}",
@@ -118,38 +120,47 @@
             self.counter.move(after.counter)
 
     async def serve(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
+        """Serves until a graceful shutdown has ended; `task_status` is set when requests are accepted."""
         if self.listener is None:
             self.bind()
         assert self.listener is not None
-        with ExitStack() as sockets:
-            sockets.enter_context(self.listener)
+        with ExitStack() as stack:
+            stack.enter_context(self.listener)
             if self.peer_sock is not None:
-                sockets.enter_context(self.peer_sock)
+                stack.enter_context(self.peer_sock)
             await self._serve(self.listener, self.peer_sock, task_status)
 
     async def _serve(
         self, listener: socket.socket, peer_sock: socket.socket | None, task_status: TaskStatus[None]
     ) -> None:
-        told, bounds, log = self.deployment, self.deployment.bounds, self.log
+        config, bounds, log = self.deployment, self.deployment.bounds, self.log
         clock = Clock()
-        dispatcher = Dispatcher(told, clock, log)
+        dispatcher = Dispatcher(config, clock, log)
         timers = dispatcher.timers = Timers(clock, dispatcher.post, log, bounds.late_s)
         discovery = self.discovery = Discovery(
-            told.discovery, told.known_index, bounds, dispatcher, dispatcher.gateway.random, log, told.pushed
+            config.discovery,
+            config.known_index,
+            bounds,
+            dispatcher,
+            dispatcher.gateway.random,
+            log,
+            config.pushed,
         )
         async with anyio.create_task_group() as group:
-            held = Allowance(int(told.memory * bounds.held_share))
-            fleet = Fleet(told, dispatcher, clock, log, group, Allowance(told.server_descriptors), held)
+            memory_limit = Allowance(int(config.memory * bounds.held_share))
+            fleet = Fleet(
+                config, dispatcher, clock, log, group, Allowance(config.server_descriptors), memory_limit
+            )
             clients = Clients(
-                told,
+                config,
                 listener,
                 self.phases,
                 dispatcher,
                 clock,
                 log,
                 group,
-                Allowance(told.client_descriptors),
-                held,
+                Allowance(config.client_descriptors),
+                memory_limit,
                 self.listening_since + clock.offset,
             )
             dispatcher.fleet = fleet
@@ -159,36 +170,36 @@
                 discovery.run,
                 partial(self._sweep, dispatcher, clients, fleet),
             ]
-            if told.counter is not None:
-                time_out = told.facts.count_time_out
-                self.counter = Counter(told.counter, time_out, bounds, dispatcher, clock, timers, log)
+            if config.counter is not None:
+                timeout_s = config.facts.count_time_out
+                self.counter = Counter(config.counter, timeout_s, bounds, dispatcher, clock, timers, log)
                 dispatcher.counter = self.counter
                 tasks.append(self.counter.run)
             if peer_sock is not None:
-                dispatcher.peers = peers = Peers(peer_sock, told.peers, told.peers_all, dispatcher, log)
+                dispatcher.peers = peers = Peers(peer_sock, config.peers, config.peers_all, dispatcher, log)
                 tasks.append(peers.run)
             for part in self.parts:
                 tasks.append(partial(part, self, dispatcher))
-            dispatcher.listed(list(told.known), True)
+            dispatcher.listed(list(config.known), True)
             dispatcher.carry_out()
             for task in tasks:
-                group.start_soon(self._lasting, task)
-            # Guards against sends right after a start to what drained meanwhile: what discovery has counts as
-            # told from the first moment on, and the list that a node is started with may be old.
-            with anyio.move_on_after(max(told.facts.drain_grace, bounds.again_s)):
+                group.start_soon(self._keep_running, task)
+            # The initial list of servers may be outdated, and the node is held to discovery's list from the
+            # start: it waits for the first answer, so as not to send to servers that are draining by now.
+            with anyio.move_on_after(max(config.facts.drain_grace, bounds.again_s)):
                 await discovery.first.wait()
             self.phases.enter(Phase.SERVING)
             task_status.started()
-            async with anyio.create_task_group() as accepting:
-                accepting.start_soon(self._lasting, clients.accept)
+            async with anyio.create_task_group() as accept_group:
+                accept_group.start_soon(self._keep_running, clients.accept)
                 await self.phases.reached(Phase.LEAVING)
                 await anyio.sleep(bounds.leave_s)
-                accepting.cancel_scope.cancel()
+                accept_group.cancel_scope.cancel()
             await self._finish(dispatcher, clients)
             group.cancel_scope.cancel()
 
-    async def _lasting(self, task: Callable[[], Awaitable[None]]) -> None:
-        """Guards against a fault in one task that would take the node with it: the task begins again."""
+    async def _keep_running(self, task: Callable[[], Awaitable[None]]) -> None:
+        """Runs a task, and starts it again when it fails or returns."""
         while True:
             try:
                 await task()
@@ -197,27 +208,29 @@
             await anyio.sleep(self.deployment.bounds.again_s)
 
     async def _finish(self, dispatcher: Dispatcher, clients: Clients) -> None:
-        """Take no new connection, and answer all that was taken. It has to be over before the node is killed,
-        which comes the sooner the shorter the hard limits are."""
-        bounds, longest = self.deployment.bounds, max(lane.hard_limit for lane in self.deployment.facts.lanes)
-        with anyio.move_on_after(min(bounds.finish_s, longest + bounds.finish_beyond_s) - bounds.leave_s):
+        """Stops listening and waits until all accepted requests are answered, or their time is over.
+
+        The process is killed the earlier the shorter the lanes' hard limits are, so the wait depends on them.
+        """
+        bounds, limit_s = self.deployment.bounds, max(lane.hard_limit for lane in self.deployment.facts.lanes)
+        with anyio.move_on_after(min(bounds.finish_s, limit_s + bounds.finish_beyond_s) - bounds.leave_s):
             await clients.stop_listening()
             self.phases.enter(Phase.FINISHING)
             clients.retire()
-            await self._until_answered(dispatcher, clients)
+            await self._wait_until_answered(dispatcher, clients)
         clients.read_no_more()
         await dispatcher.post(dispatcher.end_all)
         with anyio.move_on_after(bounds.late_s):
-            await self._until_answered(dispatcher, clients)
-        # Guards against last answers lost with a reset: what clients still sent is read before all closes.
+            await self._wait_until_answered(dispatcher, clients)
+        # What clients still send is read before closing: otherwise a reset could discard the last answers.
         with anyio.move_on_after(min(bounds.linger_s, bounds.late_s)):
             while clients.connections:
                 await anyio.sleep(0.02)
         self.phases.enter(Phase.ENDED)
-        self._tell_totals(dispatcher, clients)
+        self._log_totals(dispatcher, clients)
 
-    def _tell_totals(self, dispatcher: Dispatcher, clients: Clients) -> None:
-        """What the node has done, and why, in one line."""
+    def _log_totals(self, dispatcher: Dispatcher, clients: Clients) -> None:
+        """Logs the totals of this run in one line."""
         fleet, parts = dispatcher.fleet, (dispatcher, dispatcher.fleet, clients)
         broken = sum((part.invariants.broken for part in parts), collections.Counter[Invariant]())
         totals = {
@@ -228,7 +241,7 @@
         }
         self.log.say(f"ends: {totals}", "node.ended", **totals)
 
-    async def _until_answered(self, dispatcher: Dispatcher, clients: Clients) -> None:
+    async def _wait_until_answered(self, dispatcher: Dispatcher, clients: Clients) -> None:
         while dispatcher.open_requests or any(not client.finished for client in clients.connections):
             await anyio.sleep(0.02)
 
@@ -242,93 +255,98 @@
 
 
 def reread(node: EdgeNode, first: bool = True) -> bool:
-    """Guards against a new file that is missing, half written or faulty: the old one stays in force. Gives
-    whether the file was read; what is wrong with it is told at the `first` try only."""
+    """Reads the configuration file and applies it; an invalid file leaves the old configuration in force.
+
+    Returns False if the file could not be read or is no JSON, which is logged at the `first` attempt only.
+    """
     try:
         node.reload(read_deployment(os.environ))
         return True
-    except Faulty as wrong:
-        if first or not isinstance(wrong, Unreadable):
-            node.log.say(f"{wrong}; the old configuration stays in force", "configuration.faulty")
-        return not isinstance(wrong, Unreadable)
+    except Faulty as error:
+        if first or not isinstance(error, Unreadable):
+            node.log.say(f"{error}; the old configuration stays in force", "configuration.faulty")
+        return not isinstance(error, Unreadable)
 
 
-async def reread_until_whole(node: EdgeNode) -> None:
-    """Take up the file that the node was told to read. Guards against one that is told of while it is being
-    written, or that can't be opened for a moment: nobody would tell of it again."""
-    was_read, bounds = reread(node), node.deployment.bounds
+async def reload_at_signal(node: EdgeNode) -> None:
+    """Reloads the configuration and the log's settings at SIGHUP.
+
+    Retries for `reread_s` while the file can't be read: it may still be being written at the signal, and no
+    second signal follows.
+    """
+    readable, bounds = reread(node), node.deployment.bounds
     if node.log.reread is not None:
         node.log.reread(node.log)
     with anyio.move_on_after(bounds.reread_s):
-        while not was_read:
+        while not readable:
             await anyio.sleep(bounds.again_s)
-            was_read = reread(node, first=False)
+            readable = reread(node, first=False)
 
 
-async def bind_patiently(node: EdgeNode) -> None:
-    """Guards against a start that fails for an address, or for descriptors, that are free a moment later."""
-    ends = anyio.current_time() + node.deployment.bounds.bind_s
+async def bind_with_retries(node: EdgeNode) -> None:
+    """Binds the node's sockets, retrying for `bind_s` on errors that may pass, such as an address in use."""
+    deadline = anyio.current_time() + node.deployment.bounds.bind_s
     while True:
         try:
             return node.bind()
-        except OSError as wrong:
-            if wrong.errno not in FREED_LATER or anyio.current_time() >= ends:
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRORS or anyio.current_time() >= deadline:
                 raise
         await anyio.sleep(node.deployment.bounds.again_s)
 
 
-def read_patiently(environment: Mapping[str, str]) -> Deployment:
-    """The configuration at the start; Faulty where it can't be used. A system that is short of descriptors or
-    memory is asked again, for a second at the most."""
+def read_with_retries(environment: Mapping[str, str]) -> Deployment:
+    """Reads the configuration at the start; raises `Faulty`. Retries for about a second where the system
+    is short of descriptors or memory."""
     for _ in range(READ_TRIES - 1):
         try:
             return read_deployment(environment)
-        except Unreadable as wrong:
-            if not isinstance(wrong.__cause__, OSError) or wrong.__cause__.errno not in FREED_LATER:
+        except Unreadable as error:
+            if not isinstance(error.__cause__, OSError) or error.__cause__.errno not in TRANSIENT_ERRORS:
                 raise
         time.sleep(READ_PAUSE_S)
     return read_deployment(environment)
 
 
-async def within(
+async def run_in_scope(
     scope: anyio.CancelScope, call: Callable[[EdgeNode], Awaitable[None]], node: EdgeNode
 ) -> None:
-    """Make a call that ends with `scope`."""
+    """Awaits `call(node)` within `scope`, which can cancel it."""
     with scope:
         await call(node)
 
 
 async def run_program(deployment: Deployment, log: Log | None = None, parts: Iterable[Part] = ()) -> None:
-    """Serve until told to stop by a signal; SIGHUP has the configuration read again. OSError where the
-    addresses can't be taken."""
+    """Runs a node until SIGTERM or SIGINT; SIGHUP reloads the configuration. Raises OSError if the addresses
+    can't be bound."""
     node = EdgeNode(deployment, log, parts)
-    not_bound: OSError | None = None
+    bind_error: OSError | None = None
     async with anyio.create_task_group() as group:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
 
-            async def listen() -> None:
-                rereading = anyio.CancelScope()
-                async for number in signals:
-                    if number == signal.SIGHUP:
-                        rereading.cancel()  # the file is another one now
-                        rereading = anyio.CancelScope()
-                        group.start_soon(within, rereading, reread_until_whole, node)
+            async def handle_signals() -> None:
+                reload_scope = anyio.CancelScope()
+                async for received in signals:
+                    if received == signal.SIGHUP:
+                        reload_scope.cancel()  # the file has changed once more
+                        reload_scope = anyio.CancelScope()
+                        group.start_soon(run_in_scope, reload_scope, reload_at_signal, node)
                     else:
                         node.leave()
 
-            group.start_soon(listen)
+            group.start_soon(handle_signals)
             gc.collect()
-            gc.freeze()  # what was loaded at the start lasts: it need not be looked at again
+            gc.freeze()  # objects loaded at the start live on: the collector need not visit them
             try:
-                await bind_patiently(node)
-            except OSError as wrong:
-                not_bound = wrong
+                await bind_with_retries(node)
+            except OSError as error:
+                bind_error = error
             else:
                 await node.serve()
-        signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as it is before the node listens for it
+        signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as before the signal receiver was installed
         group.cancel_scope.cancel()
-    if not_bound is not None:
-        raise not_bound
+    if bind_error is not None:
+        raise bind_error
 
 
 def main(
@@ -336,14 +354,17 @@
     parts: Iterable[Part] = (),
     subsets: Terms | None = USUAL,
 ) -> int:
-    """Run the node that LB_CONFIG describes; gives the exit code: 0 after a clean leave, 1 where it can't
-    serve, 2 for a faulty configuration. `make_log` makes its log, else lines are plain; `subsets` of app
-    servers, None: off."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # guards against one that comes too early, or while it ends
+    """Runs the node configured by LB_CONFIG. Returns the exit code: 0 after a graceful shutdown, 1 if the
+    node can't serve, 2 for a faulty configuration.
+
+    `make_log` creates the node's log, by default one of plain lines; `subsets` are the terms for the subset
+    of app servers that the node uses, None for all.
+    """
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # SIGHUP must not end a process that is starting or stopping
     try:
-        deployment = replace(read_patiently(os.environ), subsets=subsets)
-    except Faulty as wrong:
-        print(f"merlintally: {wrong}", file=sys.stderr)
+        deployment = replace(read_with_retries(os.environ), subsets=subsets)
+    except Faulty as error:
+        print(f"merlintally: {error}", file=sys.stderr)
         return 2
     try:
         anyio.run(
@@ -353,7 +374,7 @@
             parts,
             backend_options={"loop_factory": ObservedLoop},
         )
-    except OSError as wrong:
-        print(f"merlintally: can't serve: {wrong}", file=sys.stderr)
+    except OSError as error:
+        print(f"merlintally: can't serve: {error}", file=sys.stderr)
         return 1
     return 0
--- a/merlintally/net/servers.py
+++ b/merlintally/net/servers.py
@@ -1,4 +1,4 @@
-"""App servers: their connections, one attempt on each at a time, and how attempts end."""
+"""Connections to app servers: attempts are sent on them, one at a time on each, and their answers parsed."""
 
 from __future__ import annotations
 
@@ -22,79 +22,90 @@
 from merlintally.net.timers import Clock
 from merlintally.subsets import Listing
 
-FIGURE = re.compile(r"([a-z0-9_]+)=(-?[0-9]{1,12}(?:\.[0-9]{1,12})?)")
-ERROR = re.compile(rb"-(BUSY|ERR)((?: [!-~]+)*)")
-UNUSABLE: Outcome = "withdrawn"  # of what an app server can't use: the client's fault, and not the server's
+NAMED_NUMBER = re.compile(r"([a-z0-9_]+)=(-?[0-9]{1,12}(?:\.[0-9]{1,12})?)")
+ERROR_LINE = re.compile(rb"-(BUSY|ERR)((?: [!-~]+)*)")
+REJECTED: Outcome = "withdrawn"  # for malformed requests, which must not count against the server
 
 
-def figures(row: str) -> dict[str, float]:
-    """What can be read of them. Guards against a good answer that is lost for its figures, which are dropped.
+def parse_numbers(row: str) -> dict[str, float]:
+    """Parses `name=number` pairs separated by commas. Malformed pairs are skipped, so that they don't
+    invalidate the answer that carries them.
 
-    >>> figures("used=37,cost=4")
+    >>> parse_numbers("used=37,cost=4")
     {'used': 37.0, 'cost': 4.0}
     """
-    parts = (FIGURE.fullmatch(part) for part in row.split(","))
+    parts = (NAMED_NUMBER.fullmatch(part) for part in row.split(","))
     return {part[1]: float(part[2]) for part in parts if part}
 
 
-def answer_at(buffer: bytearray, start: int, end: int, reported: dict[str, str]) -> tuple[Answer, int] | None:
-    """The answer at `start` and where it ends; None while it is not whole."""
+def parse_answer(
+    buffer: bytearray, start: int, end: int, reported: dict[str, str]
+) -> tuple[Answer, int] | None:
+    """Parses the answer that begins at `start`: the answer and the offset of its end, or None while it is
+    incomplete. Raises `Malformed`.
+
+    `reported` maps the names of load report fields to their names in the decisions.
+    """
     if start >= end:
         return None
     if buffer[start] == 0x2D:
         stop = line_end(buffer, start, end)
         if stop is None:
             return None
-        # Guards against noise that looks like an error: what was turned away has surely never run.
-        line = ERROR.fullmatch(bytes(buffer[start:stop]))
+        # Strict, since a rejected attempt counts as never run: garbage must not be taken for a rejection.
+        line = ERROR_LINE.fullmatch(bytes(buffer[start:stop]))
         if line is None:
-            raise Malformed("an error line can't be read")
+            raise Malformed("an error line can't be parsed")
         words = line[2].decode("ascii").split(" ")[1:]
-        report = report_of(words[-1], reported) if words and "=" in words[-1] else None
+        report = load_report(words[-1], reported) if words and "=" in words[-1] else None
         if line[1] == b"ERR" and words[:1] != ["failed"]:
-            return Answer(UNUSABLE, b"-ERR refused by the app server\r\n"), stop + 2
+            return Answer(REJECTED, b"-ERR refused by the app server\r\n"), stop + 2
         return Answer("full" if line[1] == b"BUSY" else "error", report=report), stop + 2
     found = array_at(buffer, start, end)
     if found is None:
         return None
     spans, stop = found
     if len(spans) != 3 or spans[0] is None:
-        raise Malformed("an answer is not a value and two rows of figures")
-    rows = [bytes(buffer[a:b]).decode("ascii", "replace") for a, b in (one or (0, 0) for one in spans[1:])]
-    actual = max(0.0, figures(rows[0]).get("cost", 0.0))
-    report = report_of(rows[1], reported)
+        raise Malformed("an answer is not an array of a value and two rows of numbers")
+    rows = [bytes(buffer[a:b]).decode("ascii", "replace") for a, b in (span or (0, 0) for span in spans[1:])]
+    actual = max(0.0, parse_numbers(rows[0]).get("cost", 0.0))
+    report = load_report(rows[1], reported)
     first, last = spans[0]
     return Answer("ok", bulk(bytes(buffer[first:last])), actual, report), stop
 
 
-def report_of(row: str, reported: dict[str, str]) -> LoadReport | None:
-    """The load report in a row, of the fields that the settings name, by their names in the decisions."""
-    return {reported[name]: value for name, value in figures(row).items() if name in reported} or None
+def load_report(row: str, reported: dict[str, str]) -> LoadReport | None:
+    """The load report in a row: the fields in `reported`, under their decision names; None if empty."""
+    return {reported[name]: value for name, value in parse_numbers(row).items() if name in reported} or None
 
 
 class Link:
-    """One connection to an app server. It carries one attempt at a time, so that none waits for another's
-    answer, and calling one off, which closes the connection, ends no other."""
+    """One connection to an app server, carrying one attempt at a time.
+
+    No attempt waits for the answer to another, and cancelling one by closing its connection affects no other.
+    """
 
     def __init__(self, fleet: Fleet, server: Server, attempt: Attempt) -> None:
         self.fleet, self.server = fleet, server
         self.attempt: Attempt | None = attempt
-        self.stream = Stream(tcp_socket(), fleet.held, waits=False)  # an answer frees more than it takes
+        # Doesn't wait for memory, since handling an answer releases more than it uses.
+        self.stream = Stream(tcp_socket(), fleet.held, waits=False)
         self.idle_since, self.dead, self.connected = 0.0, False, False
         attempt.link = self
 
     async def run(self) -> None:
+        """Connects and serves attempts until the connection ends; reports an attempt that was in progress."""
         try:
-            await self._serve()
-        except Malformed as wrong:
+            await self._exchange()
+        except Malformed as error:
             self.fleet.log.say(
-                f"app server {self.server.name}: {wrong}; the connection is closed",
+                f"app server {self.server.name}: {error}; the connection is closed",
                 "server.spoilt",
                 server=self.server.name,
             )
         except (OSError, anyio.ClosedResourceError):
             pass
-        except Exception:  # guards against a fault in handling one connection: it ends that one, and no other
+        except Exception:  # an unexpected error ends this connection only
             self.fleet.log.say(
                 f"app server {self.server.name}: {traceback.format_exc()}",
                 "server.failed",
@@ -106,40 +117,41 @@
             self.fleet.forget(self)
             if (attempt := self.attempt) is not None:
                 self.attempt = None
-                await self.fleet.report(attempt, Answer("broken" if attempt.written else "unreachable"))
+                await self.fleet.report_end(attempt, Answer("broken" if attempt.written else "unreachable"))
 
-    async def _serve(self) -> None:
-        with anyio.fail_after(self.fleet.connect_time_out):
+    async def _exchange(self) -> None:
+        with anyio.fail_after(self.fleet.connect_timeout_s):
             await connect(self.stream.sock, self.server.address)
         attempt = self.attempt
         if self.dead or (attempt and not self.fleet.guard.allows(attempt, self.server.presence)):
             return
         self.connected = True
-        if self.attempt is None:  # called off while it connected: the next one may use it
+        if self.attempt is None:  # cancelled while connecting: the connection is available for others
             self.fleet.rest(self)
         else:
             self.begin(self.attempt)
         fleet, stream = self.fleet, self.stream
-        while await self._more():
-            found = answer_at(stream.buffer, stream.start, stream.end, fleet.reported)
-            if found is None:
+        while await self._receive_more():
+            parsed = parse_answer(stream.buffer, stream.start, stream.end, fleet.reported)
+            if parsed is None:
                 if stream.overfull:
-                    raise Malformed("an answer is beyond what is allowed")
+                    raise Malformed("an answer is larger than the receive buffer")
                 continue
-            answer, stream.start = found
+            answer, stream.start = parsed
             attempt = self.attempt
             if attempt is None or (answer.outcome == "ok" and not attempt.written):
-                raise Malformed("an answer came to no question")
+                raise Malformed("an answer came without a request")
             self.attempt = None
             self.dead = self.dead or stream.start < stream.end or not attempt.written
             if not self.dead:
                 self.fleet.rest(self)
-            await fleet.report(attempt, answer)
+            await fleet.report_end(attempt, answer)
             if self.dead:
                 return
 
-    async def _more(self) -> int:
-        """Wait for more bytes. Guards against answers that stop short: places taken for good."""
+    async def _receive_more(self) -> int:
+        """Waits for more bytes; 0 at the end of the connection. A partial answer that gets no further bytes
+        for `stall_s` raises `Malformed`, since it would occupy its connection for good."""
         if self.stream.start == self.stream.end:
             return await self.stream.receive()
         with anyio.move_on_after(self.fleet.stall_s):
@@ -147,7 +159,7 @@
         raise Malformed("an answer stopped short")
 
     def begin(self, attempt: Attempt) -> None:
-        """Write an attempt out; when that fails before its last byte, it has never run."""
+        """Sends an attempt, which has not run if that fails before its last byte is written."""
         self.attempt, attempt.link = attempt, self
         wait = attempt.until - self.fleet.clock.now()
         try:
@@ -155,16 +167,19 @@
         except OSError:
             self.end()
             return
-        self.fleet.check_begun(attempt, self.server, wait)
+        self.fleet.check_invariants(attempt, self.server, wait)
         if not attempt.written:
             self.fleet.group.start_soon(self._flush, attempt)
 
     async def _flush(self, attempt: Attempt) -> None:
-        """Write the rest. Guards against a last byte that goes out for nobody, once a repeat is no longer
-        remembered, or long after the time that the command tells: an app server begins a request with it."""
-        begun_at, guard = self.fleet.clock.now(), self.fleet.guard
+        """Writes the rest of a partly written attempt while the send guard allows it.
+
+        An app server starts a request at its last byte, which must not go out for a client that has left,
+        after the window for repeats, or long after the remaining time stated in the message was computed.
+        """
+        started_at, guard = self.fleet.clock.now(), self.fleet.guard
         try:
-            await self.stream.flush(lambda: guard.allows_rest(attempt, begun_at))
+            await self.stream.flush(lambda: guard.allows_rest(attempt, started_at))
             attempt.written = not self.stream.unsent
         except OSError:
             pass
@@ -172,23 +187,23 @@
             self.end()
 
     def end(self) -> None:
-        """End the connection at once; its task closes it."""
+        """Shuts the connection down; its task closes the socket."""
         self.dead = True
         self.stream.hang_up()
 
 
 class Server:
-    """Where one app server listens, and this node's connections to it."""
+    """An app server's address and state, and this node's connections to it."""
 
     def __init__(self, name: str, address: Address) -> None:
         self.name, self.address, self.started = name, address, 0.0
         self.presence: Presence = "on"
         self.links: dict[Link, None] = {}
-        self.idle: list[Link] = []  # the last used at the end
-        self.leaving_since = float("inf")  # when it was listed as one that drains or is gone
+        self.idle: list[Link] = []  # in the order of last use, the most recent last
+        self.leaving_since = float("inf")  # when it was first listed as draining or gone
 
     def set_presence(self, presence: Presence, now: float) -> None:
-        """Take up how it is listed from now on."""
+        """Sets the presence from discovery, at `now`."""
         if presence == "on":
             self.leaving_since = float("inf")
         elif self.presence == "on":
@@ -197,7 +212,10 @@
 
 
 class Fleet:
-    """The app servers that this node works with."""
+    """The app servers that this node uses, with a connection pool for each.
+
+    `descriptors` limits the open connections, `held` the memory for answers.
+    """
 
     def __init__(
         self,
@@ -211,15 +229,18 @@
     ) -> None:
         self.dispatcher, self.clock, self.log, self.group = dispatcher, clock, log, group
         self.descriptors, self.held, self.reported = descriptors, held, deployment.reported
-        self.connect_time_out = deployment.connect_time_out
-        self.rest_s, self.stall_s = deployment.bounds.rest_s, deployment.bounds.stall_s
-        self.retire_after = deployment.idle_close * deployment.bounds.idle_share
+        self.connect_timeout_s = deployment.connect_time_out
+        self.reuse_delay_s, self.stall_s = deployment.bounds.rest_s, deployment.bounds.stall_s
+        self.max_idle_s = deployment.idle_close * deployment.bounds.idle_share
         self.servers: dict[str, Server] = {}
         self.guard, self.invariants = SendGuard(clock), Invariants(log)
         self.drain_grace = deployment.facts.drain_grace
 
-    def check_begun(self, attempt: Attempt, server: Server, wait: float) -> None:
-        """Look at an attempt of which the first bytes have just been written, to be answered in `wait` s."""
+    def check_invariants(self, attempt: Attempt, server: Server, wait: float) -> None:
+        """Checks the invariants of an attempt whose first bytes have just been written.
+
+        `wait` is the time for its answer in seconds, as stated to the app server.
+        """
         request, now, check = attempt.request, self.clock.now(), self.invariants.check
         gone_s = 0.0 if request.gone_at is None else now - request.gone_at
         left_s, leaving_s = request.deadline - now, now - server.leaving_since
@@ -229,15 +250,18 @@
         check(late_s <= HELD_UP_S, Invariant.NOT_TOO_LATE, request.id, late_s=late_s)
         check(wait <= max(0.0, left_s) + WAIT_SLACK_S, Invariant.WAIT_TOLD, request.id, wait_s=wait)
         check(leaving_s <= self.drain_grace, Invariant.SERVER_STAYS, request.id, server=server.name)
-        twice = request.effect == "one-shot" and any(one.may_run() for one in request.others(attempt))
-        check(not twice, Invariant.ONE_COPY, request.id)
+        second_copy = request.effect == "one-shot" and any(
+            other.may_run() for other in request.others(attempt)
+        )
+        check(not second_copy, Invariant.ONE_COPY, request.id)
 
     def roster(self, entries: Iterable[Listing], complete: bool) -> None:
-        """Take a list or its changes. What drains or is gone keeps its attempts and gets nothing more."""
-        named = set()
+        """Applies a list of servers, or changes to it unless `complete`. Servers that are draining or gone
+        keep their attempts in progress and get no new ones."""
+        listed_names = set()
         for entry in entries:
             name, server = entry.facts.server, self.servers.get(entry.facts.server)
-            named.add(name)
+            listed_names.add(name)
             if server is None:
                 if entry.address is None:
                     continue
@@ -249,36 +273,36 @@
             server.set_presence(entry.facts.presence, self.clock.now())
             server.started = entry.facts.started
         for server in list(self.servers.values()):
-            if complete and server.name not in named:
+            if complete and server.name not in listed_names:
                 server.set_presence("gone", self.clock.now())
                 self._drop_unused(server)
             if server.presence == "gone" and not server.links:
                 del self.servers[server.name]
 
     def _drop_unused(self, server: Server) -> None:
-        """End what stands idle, and what has still to connect: it must not send after the drain's grace."""
+        """Ends idle connections, and those still connecting, which could send after the grace period."""
         for link in list(server.links):
             if not link.connected or link.attempt is None:
                 link.end()
         server.idle.clear()
 
     def send(self, name: str, attempt: Attempt) -> bool:
-        """Begin an attempt; False if it can't be and has never run."""
+        """Starts an attempt at the server `name`; False if it could not be started and has not run."""
         server = self.servers.get(name)
         if server is None or not self.guard.allows(attempt, server.presence):
             return False
         while (link := self._rested(server)) is not None:
-            if not link.dead and link.stream.quiet():  # guards against one that its server has closed
+            if not link.dead and link.stream.quiet():  # else its server has closed it or sent garbage
                 link.begin(attempt)
                 return True
             link.end()
         if self.descriptors.full and not self._give_way():
-            self.log.say("no descriptors are left for connections to app servers", "servers.descriptors")
+            self.log.say("no file descriptors are left for connections to app servers", "servers.descriptors")
             return False
         try:
             link = Link(self, server, attempt)
-        except OSError as wrong:
-            self.log.say(f"no connection can be opened: {wrong.strerror}", "servers.open")
+        except OSError as error:
+            self.log.say(f"no connection can be opened: {error.strerror}", "servers.open")
             return False
         self.descriptors.take()
         server.links[link] = None
@@ -286,25 +310,28 @@
         return True
 
     def _rested(self, server: Server) -> Link | None:
-        """The last used of those idle, but for any that has only just answered or is to be retired. Guards
-        against noise or one more copy right behind an answer, taken for the next one, and against a close
-        that crosses it: where servers close soon, that comes between two sweeps."""
+        """Removes and returns the most recently used idle connection that is fit for use, if any.
+
+        Connections that answered less than `reuse_delay_s` ago are skipped: a duplicate answer or garbage
+        that follows would be taken for the answer to the next attempt. So are those idle for longer than
+        `max_idle_s`, which the server may be closing; this matters between two sweeps.
+        """
         now = self.clock.now()
-        for at in range(len(server.idle) - 1, -1, -1):
-            rest = now - server.idle[at].idle_since
-            if rest > self.retire_after:
+        for index in range(len(server.idle) - 1, -1, -1):
+            idle_s = now - server.idle[index].idle_since
+            if idle_s > self.max_idle_s:
                 break
-            if rest >= self.rest_s:
-                return server.idle.pop(at)
+            if idle_s >= self.reuse_delay_s:
+                return server.idle.pop(index)
         return None
 
     def busy(self, name: str) -> int:
-        """How many attempts are out at an app server, or on their way to it."""
+        """The number of attempts in progress at the server `name`, including those still connecting."""
         server = self.servers.get(name)
         return sum(link.attempt is not None for link in server.links) if server is not None else 0
 
     def call_off(self, attempt: Attempt) -> None:
-        """Stop waiting: the connection ends, so that nothing else is out on it."""
+        """Cancels an attempt by ending its connection; a connection still being set up is kept for others."""
         link = attempt.link
         if isinstance(link, Link) and link.attempt is attempt:
             link.attempt = None
@@ -312,6 +339,7 @@
                 link.end()
 
     def rest(self, link: Link) -> None:
+        """Returns a connection to the pool; ends it if its server takes no new attempts."""
         if link.server.presence != "on":
             link.end()
         else:
@@ -324,22 +352,24 @@
         if link in link.server.idle:
             link.server.idle.remove(link)
 
-    async def report(self, attempt: Attempt, answer: Answer) -> None:
+    async def report_end(self, attempt: Attempt, answer: Answer) -> None:
+        """Enqueues the end of an attempt for the dispatcher."""
         attempt.answered = True
         await self.dispatcher.post(self.dispatcher.ended, attempt, answer)
 
     def sweep(self) -> None:
-        """Retire what stands idle well before its server closes it: what crosses that may have run."""
-        before = self.clock.now() - self.retire_after
+        """Ends idle connections well before their servers close them: an attempt that crosses such a close
+        may have run."""
+        retire_before = self.clock.now() - self.max_idle_s
         for server in self.servers.values():
-            while server.idle and server.idle[0].idle_since < before:
+            while server.idle and server.idle[0].idle_since < retire_before:
                 server.idle.pop(0).end()
 
     def _give_way(self) -> bool:
-        """End the connection that has been idle for longest; False if none is idle."""
-        waiting = [server.idle[0] for server in self.servers.values() if server.idle]
-        if waiting:
-            oldest = min(waiting, key=lambda link: link.idle_since)
+        """Ends the connection that has been idle for longest; False if none is idle."""
+        longest_idle = [server.idle[0] for server in self.servers.values() if server.idle]
+        if longest_idle:
+            oldest = min(longest_idle, key=lambda link: link.idle_since)
             oldest.server.idle.pop(0)
             oldest.end()
-        return bool(waiting)
+        return bool(longest_idle)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -28,7 +28,7 @@
 from merlintally.net.log import Log
 from merlintally.net.phases import Phase, Phases
 from merlintally.net.resp import array, array_at
-from merlintally.net.servers import answer_at, figures
+from merlintally.net.servers import parse_answer, parse_numbers
 from merlintally.net.sockets import Buffer, Stream, gather
 from merlintally.net.timers import Clock
 
@@ -130,11 +130,11 @@
     ],
 )
 def test_answers_of_app_servers(raw: bytes, outcome: str, value: bytes, actual: float) -> None:
-    found = answer_at(bytearray(raw), 0, len(raw), {"inflight": "held"})
+    found = parse_answer(bytearray(raw), 0, len(raw), {"inflight": "held"})
     assert found is not None and found[1] == len(raw)
     assert (found[0].outcome, found[0].value, found[0].actual) == (outcome, value, actual)
     assert found[0].report == ({"held": 7.0} if b"inflight" in raw else None)
-    assert all(answer_at(bytearray(raw), 0, stop, {}) is None for stop in range(len(raw)))
+    assert all(parse_answer(bytearray(raw), 0, stop, {}) is None for stop in range(len(raw)))
 
 
 @pytest.mark.parametrize(
@@ -157,7 +157,7 @@
 def test_spoilt_answers_of_app_servers(raw: bytes) -> None:
     """Guards against one that counts as never run, or that leaves a connection in use that is of none."""
     with pytest.raises(Malformed):
-        answer_at(bytearray(raw), 0, len(raw), {})
+        parse_answer(bytearray(raw), 0, len(raw), {})
 
 
 @pytest.mark.parametrize("answer", ["ok", "ok many", "ok nan", "ok inf", "fine 3", ""])
@@ -261,7 +261,7 @@
     ],
 )
 def test_figures_that_can_not_be_read_are_dropped(row: str, read: dict[str, float]) -> None:
-    assert figures(row) == read
+    assert parse_numbers(row) == read
 
 
 def test_backoff_spreads_failures_doubles_refusals_and_shortens_with_answers() -> None:
