--- a/merlintally/net/discovery.py
+++ b/merlintally/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the whole list of app servers, then one watch after another, over HTTP/1.1."""
+"""Client of discovery: fetches the list of app servers and watches it for changes, over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -15,113 +15,119 @@
 from merlintally.net.post import Owner
 from merlintally.net.sockets import Stream, connect, tcp_socket
 
-MOST_BODY = 8 << 20  # bytes of one answer
-TOLD_S = 6.0  # from a change on, until it counts as told, heard or not (standing test)
-PROOF_S = 0.001  # the wait of a call that only asks what is listed by now
+MAX_BODY_BYTES = 8 << 20
+TOLD_S = 6.0  # after a change the node is held to it, whether it has received it or not
+NO_WAIT_S = 0.001  # the wait of a call that only fetches the changes made so far
 
 
-class Refused(Exception):
-    """Discovery can't answer now. Guards against whole lists asked of one that is overloaded: what the node
-    holds is as good as before, and changes since then cost less."""
+class Overloaded(Exception):
+    """Discovery is overloaded or failing. The list and its version are kept, since fetching the changes later
+    costs discovery less than the whole list."""
 
 
 class Discovery:
-    """Follows the list. Whatever breaks ends the connection; the next goes on from the version held.
+    """Keeps the list of app servers up to date. Any error ends the connection; the next one continues from
+    the version that the node has.
 
-    One bound holds for every path: the next call begins TOLD_S less `asked_before_s` after the start of one,
-    at the latest, and is answered in what is left. A watch's wait and the patience for its answer share what
-    that leaves, half for each; so do a call without an answer and the pause behind it.
+    The node must learn of a change within TOLD_S. Hence each call begins at most TOLD_S less `asked_before_s`
+    after the start of the previous one, and is to be answered in the remaining time. The wait of a watch and
+    the timeout for its answer each get half of what that leaves, and so do a call that gets no answer and
+    the pause after it.
     """
 
     def __init__(
         self,
-        where: Address,
+        address: Address,
         version: int | None,
         bounds: Bounds,
         dispatcher: Owner,
-        chance: Random,
+        random: Random,
         log: Log,
         local: bool = False,
     ) -> None:
-        """`local`: an agent of this machine, which has lists pushed to it. What it gets after an outage
-        counts as told at once, and asking it costs nothing: it is not asked ever less while it is silent."""
-        self.where, self.bounds, self.dispatcher, self.log = where, bounds, dispatcher, log
-        self.version = version  # of the list that the node has; None: the whole list is needed
-        self.broken = self.proven = False  # proven: its last call was answered, so that a watch may be opened
-        self.first = anyio.Event()  # its first call has had an answer, or has failed
-        most = bounds.again_s if local else bounds.again_most_s
-        self.backoff = Backoff(chance, bounds.again_s, most, bounds.spared_s, bounds.spared_most_s)
-        self._following = anyio.CancelScope()
-        self._told_at = float("inf")  # when what is listed counts as told, unless the node asks again before
-
-    def move(self, where: Address) -> None:
-        """Ask at another address from now on, first for the whole list: versions there may be others."""
-        if where != self.where:
-            self.where, self.version, self.proven = where, None, False
+        """`version` is that of the list that the node was started with, if any.
+
+        `local` is for an agent on this machine to which lists are pushed. Calls to it are cheap, and the node
+        is held at once to what it gets after an outage: its failures don't lengthen the pauses between calls.
+        """
+        self.address, self.bounds, self.dispatcher, self.log = address, bounds, dispatcher, log
+        self.version = version  # of the list that the node has; None if it has to fetch the whole list
+        self.failing = self.answered = False  # `answered`: the last call was, so the next may be a watch
+        self.first_call_done = anyio.Event()  # set once the first call was answered or has failed
+        max_pause_s = bounds.again_s if local else bounds.again_most_s
+        self.backoff = Backoff(random, bounds.again_s, max_pause_s, bounds.spared_s, bounds.spared_most_s)
+        self._scope = anyio.CancelScope()
+        self._notice_deadline = float("inf")  # when changes made since the last call count as known
+
+    def move(self, address: Address) -> None:
+        """Continues at another address with the whole list, since its versions may differ."""
+        if address != self.address:
+            self.address, self.version, self.answered = address, None, False
             self.backoff.failures, self.backoff.pause = 0, 0.0
-            self._following.cancel()
+            self._scope.cancel()
 
     async def run(self) -> None:
+        """Follows the list until cancelled; pauses after each failure, and logs the first of an outage."""
         while True:
-            wait, said, proven = self.bounds.again_s, "", False
+            wait, error, answered = self.bounds.again_s, "", False
             try:
-                with anyio.CancelScope() as self._following:
+                with anyio.CancelScope() as self._scope:
                     await self._follow()
-                    proven = self.proven  # its connection was ended behind an answer, and nothing failed
-            except Refused as wrong:
-                self._complain(str(wrong))
+                    answered = self.answered  # the connection ended after an answer, without a failure
+            except Overloaded as failure:
+                self._log_failure(str(failure))
                 wait = self.backoff.refused()
-            except Malformed as wrong:
-                self.version, said = None, str(wrong)
+            except Malformed as failure:
+                self.version, error = None, str(failure)
             except TimeoutError:
-                said = "no answer in time"
-            except OSError as wrong:
-                said = str(wrong) or "the connection broke"
+                error = "no answer in time"
+            except OSError as failure:
+                error = str(failure) or "the connection broke"
             except h11.RemoteProtocolError:
-                said = "an answer broke off or is no HTTP"
-            self.first.set()
-            if said:
-                self._complain(said)
+                error = "an answer is incomplete or not HTTP"
+            self.first_call_done.set()
+            if error:
+                self._log_failure(error)
                 wait = self.backoff.failed()
-            self.proven = proven
-            with anyio.CancelScope() as self._following:
-                await self._rest(wait)
+            self.answered = answered
+            with anyio.CancelScope() as self._scope:
+                await self._pause(wait)
 
-    async def _rest(self, wait: float) -> None:
-        """Guards against a drain that counts as told while discovery is spared: the node asks before that."""
-        latest = self._told_at - self.bounds.asked_before_s - anyio.current_time()
+    async def _pause(self, wait: float) -> None:
+        """Pauses for `wait` seconds, or less if the next call would come too late for a change."""
+        latest = self._notice_deadline - self.bounds.asked_before_s - anyio.current_time()
         await anyio.sleep(max(min(wait, latest), min(wait, self.bounds.again_s)))
 
-    def _complain(self, wrong: str) -> None:
-        if not self.broken:  # once for each time that it breaks
-            self.log.say(f"discovery: {wrong}; the last list goes on being used", "discovery.broken")
-        self.broken = True
+    def _log_failure(self, failure: str) -> None:
+        if not self.failing:  # once for each outage
+            self.log.say(f"discovery: {failure}; the last list remains in use", "discovery.broken")
+        self.failing = True
 
     async def _follow(self) -> None:
         stream = Stream(tcp_socket())
-        where, self._told_at = self.where, anyio.current_time() + TOLD_S
+        address, self._notice_deadline = self.address, anyio.current_time() + TOLD_S
         try:
-            with anyio.fail_after(self._patience(0.0)):
-                await connect(stream.sock, where)
+            with anyio.fail_after(self._answer_timeout(0.0)):
+                await connect(stream.sock, address)
             connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=64 << 10)
             while True:
                 target, wait = "/v1/servers", 0.0
                 if self.version is not None:
-                    # Guards against a watch opened in place of one that fell silent, and silent as well: what
-                    # was missed is asked for at once, and only who has answered is waited for.
-                    most = (TOLD_S - 2 * self.bounds.asked_before_s) / 2
-                    wait = min(self.bounds.watch_s, most) if self.proven else PROOF_S
+                    # After a call without an answer, changes are asked for at once: a watch in its place
+                    # might get no answer either, and missed changes would come too late.
+                    max_wait_s = (TOLD_S - 2 * self.bounds.asked_before_s) / 2
+                    wait = min(self.bounds.watch_s, max_wait_s) if self.answered else NO_WAIT_S
                     target += f"?since={self.version}&timeout_ms={max(1, int(wait * 1000))}"
-                self._told_at = anyio.current_time() + TOLD_S
-                with anyio.fail_after(wait + self._patience(wait)):
+                self._notice_deadline = anyio.current_time() + TOLD_S
+                with anyio.fail_after(wait + self._answer_timeout(wait)):
                     body = await self._get(stream, connection, target)
-                if where != self.where:  # guards against an answer that crosses a move, of another's versions
+                if address != self.address:  # moved meanwhile: the answer's version is that of another list
                     return
-                await self._take(body)
-                self.proven = True
-                self.first.set()
-                # Guards against a drain that counts as told since the node could have asked: after an answer
-                # it asks again at once, whatever it spares discovery after a refusal.
+                await self._apply(body)
+                self.answered = True
+                self.first_call_done.set()
+                # After an answer the next call follows at once, whatever the pause after the last refusal:
+                # the node has to learn of changes in time.
                 self.backoff.worked()
                 if connection.our_state is h11.MUST_CLOSE or connection.their_state is not h11.DONE:
                     return
@@ -129,13 +135,13 @@
         finally:
             stream.close()
 
-    def _patience(self, wait: float) -> float:
-        """Seconds for an answer beyond its wait. Guards against a silent watch that is given up after what it
-        missed counts as told already: the next call needs time to be made and to be answered, too."""
+    def _answer_timeout(self, wait: float) -> float:
+        """The timeout in seconds for an answer, beyond its wait. It leaves time for one more call, and its
+        answer, before the node must know of a change that it missed."""
         return min(self.bounds.answer_s, TOLD_S - 2 * self.bounds.asked_before_s - wait)
 
     async def _get(self, stream: Stream, connection: h11.Connection, target: str) -> bytes:
-        host = f"{self.where[0]}:{self.where[1]}"
+        host = f"{self.address[0]}:{self.address[1]}"
         headers = [("Host", host), ("Accept", "application/json")]
         request = h11.Request(method="GET", target=target, headers=headers)
         head = connection.send(request) or b""
@@ -147,34 +153,34 @@
             event = connection.next_event()
             if event is h11.NEED_DATA:
                 if not await stream.receive() and stream.was_reset:
-                    raise OSError("the connection was reset")  # which is no end of an answer without a length
+                    raise OSError("the connection was reset")  # which doesn't end an answer without a length
                 connection.receive_data(bytes(stream.buffer[stream.start : stream.end]))
                 stream.start = stream.end = 0
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MOST_BODY:
-                    raise Malformed("an answer is beyond what is allowed")
+                if len(body) > MAX_BODY_BYTES:
+                    raise Malformed("an answer is larger than allowed")
             elif isinstance(event, h11.EndOfMessage):
                 if status == 429 or status >= 500:
-                    raise Refused(f"status {status}")
+                    raise Overloaded(f"status {status}")
                 if status != 200:
                     raise Malformed(f"status {status}")
                 return bytes(body)
             elif isinstance(event, h11.ConnectionClosed):
                 raise OSError("the connection ended")
 
-    async def _take(self, body: bytes) -> None:
+    async def _apply(self, body: bytes) -> None:
         try:
             index, complete, entries = page(json.loads(body))
         except ValueError:
-            raise Malformed("an answer is no JSON") from None
+            raise Malformed("an answer is not JSON") from None
         if not complete and self.version is None:
-            raise Malformed("the whole list was asked for, and changes came")
-        if self.version is not None and index < self.version:  # guards against a drain that is taken back
-            raise Malformed(f"an answer is of version {index}, older than {self.version}, which is held")
-        # Before the wait for the queue: discovery may move meanwhile, and versions there are others.
-        self.version, self.broken = index, False
+            raise Malformed("the whole list was requested, and the answer has changes only")
+        if self.version is not None and index < self.version:  # would undo changes, such as a drain
+            raise Malformed(f"an answer is of version {index}, older than the current version {self.version}")
+        # Set before the wait for the queue, during which `move` may reset the version.
+        self.version, self.failing = index, False
         if entries or complete:
             await self.dispatcher.post(self.dispatcher.listed, entries, complete)
--- a/merlintally/net/node.py
+++ b/merlintally/net/node.py
@@ -187,7 +187,7 @@
             # The initial list of servers may be outdated, and the node is held to discovery's list from the
             # start: it waits for the first answer, so as not to send to servers that are draining by now.
             with anyio.move_on_after(max(config.facts.drain_grace, bounds.again_s)):
-                await discovery.first.wait()
+                await discovery.first_call_done.wait()
             self.phases.enter(Phase.SERVING)
             task_status.started()
             async with anyio.create_task_group() as accept_group:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -589,7 +589,7 @@
         owner = Mock(post=AsyncMock(side_effect=blocked))
         discovery = Discovery(old, 3, Bounds(), owner, chance, Log("n", 9.0))
         async with anyio.create_task_group() as group:
-            group.start_soon(discovery._take, listing(silent(), index=4).partition(b"\r\n\r\n")[2])
+            group.start_soon(discovery._apply, listing(silent(), index=4).partition(b"\r\n\r\n")[2])
             await until(lambda: owner.post.called)
             discovery.move(new)
             release.set()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -23,7 +23,7 @@
     page,
     read_deployment,
 )
-from merlintally.net.counter import PART, Call, Counter, outcome_of
+from merlintally.net.counter import PARTIAL_ANSWER, Call, Counter, parse_outcome
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.phases import Phase, Phases
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("answer", ["ok", "ok many", "ok nan", "ok inf", "fine 3", ""])
 def test_malformed_answers_of_the_counter(answer: str) -> None:
     with pytest.raises(Malformed):
-        outcome_of(answer)
+        parse_outcome(answer)
 
 
 def test_a_client_that_goes_away_before_its_send_is_done_leaves_nothing_behind() -> None:
@@ -202,13 +202,13 @@
 
 @pytest.mark.parametrize("part", [b"", b"o", b"ok", b"ok ", b"ok -1.5e+1", b"ok 3\r", b"busy\r", b"e"])
 def test_part_of_an_answer_of_the_counter_is_waited_for(part: bytes) -> None:
-    assert PART.fullmatch(part)
+    assert PARTIAL_ANSWER.fullmatch(part)
 
 
 @pytest.mark.parametrize("part", [b"x", b"oK", b"ok x", b"\xff\xff", b"ok 1 ", b"buzz", b"ok " + b"1" * 60])
 def test_what_is_no_part_of_an_answer_is_not(part: bytes) -> None:
     """Guards against calls that wait behind a spoilt answer for an end that never comes."""
-    assert not PART.fullmatch(part)
+    assert not PARTIAL_ANSWER.fullmatch(part)
 
 
 def test_a_call_that_no_connection_took_ends_at_its_time_all_the_same() -> None:
@@ -220,7 +220,7 @@
     call = Call(7, b"tally 7 1 60000\r\n", 0.0)
     counter.unsent.append(call)
     counter.expired(call)
-    assert over == ["unreachable"] and call.over
+    assert over == ["unreachable"] and call.ended
 
 
 def test_a_write_cut_short_leaves_the_rest() -> None:
