--- a/merlintally/net/configuration.py
+++ b/merlintally/net/configuration.py
@@ -1,4 +1,4 @@
-"""What the node is told at its start: read, checked and given defaults here and nowhere else."""
+"""The node's configuration: read, validated and completed with defaults here and nowhere else."""
 
 from __future__ import annotations
 
@@ -14,62 +14,66 @@
 from merlintally.subsets import USUAL, Terms
 
 Address = tuple[str, int]
-LEAST_DESCRIPTORS = 8  # for clients, and for app servers
+MIN_DESCRIPTORS = 8  # for clients, and as many for app servers
 PRESENCES: dict[str, Presence] = {"SERVING": "on", "DRAINING": "draining", "DELETED": "gone"}
 
 
 class Faulty(Exception):
-    """The configuration can't be used; the text is one plain line that names the key."""
+    """The configuration is invalid. The message is a single line that names the key."""
 
 
 class Unreadable(Faulty):
-    """The file can't be read, or is no JSON: it may be being written, or the system short of something."""
+    """The file can't be read or is not JSON, which may pass: it may still be being written, or the system
+    short of a resource."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the node allows itself: the object `node` of the configuration may set each of these."""
-
-    queue: int = 2048  # calls that wait for the task that owns the decisions
-    client_idle_s: float = 4.0  # a client's connection that stands idle for as long is closed
-    client_rest_s: float = 2.0  # or as long, where another needs its descriptor: sooner is not allowed
-    client_silent_s: float = 0.25  # or as long, there, while it has never brought a request
-    client_patience_s: float = 2.2  # until a connection brings its first request, or a command is whole
-    client_stall_s: float = 5.0  # for which an answer may make no headway
-    linger_s: float = 0.3  # for the other side to end a connection, too
-    faults: int = 20  # of the commands on one connection, after which it is closed
-    fault_pause_s: float = 0.05  # after each, until it is read again
-    pipelined: int = 16  # commands of one connection that are open at once
-    held_share: float = 0.2  # of the memory, for commands and answers held; beyond it nothing more is read
-    kept_back: int = 32  # descriptors for all that is neither a client nor an app server
-    client_share: float = 0.65  # of all others, for clients: for those with something open, and to stay
-    client_reserve_share: float = 0.125  # of the clients' descriptors, for connections that do not stay
-    idle_share: float = 0.4  # of the app servers' stated idle time, after which a connection is retired
-    rest_s: float = 0.02  # after an answer, until the connection of an app server is used again
-    stall_s: float = 0.25  # without more of an answer that has begun to come, after which it is given up
-    counter_silence_s: float = 1.0  # without an answer that is due, after which its connection is given up
-    counter_calls: int = 1024  # calls to the counter that are out at once
-    watch_s: float = 2.5  # for which a watch on discovery may wait at the most, and as long for its answer
-    answer_s: float = 3.0  # beyond that: net/discovery.py leaves no more before a change counts as told
-    again_s: float = 0.1  # until something that broke is tried again, at the least
-    again_most_s: float = 5.0  # and at the most, where discovery fails time after time and is no local agent
-    spared_s: float = 4.0  # between calls to discovery once it says that it is overloaded
-    spared_most_s: float = 20.0  # and at the most, while it goes on saying so
-    asked_before_s: float = 0.5  # by which a call to discovery comes before what it lists counts as told
-    shortage_s: float = 0.3  # for which accepting has to fail before connections are closed for it
-    accept_patience_s: float = 1.0  # for connections that wait at a leave, where accepting them fails
-    leave_s: float = 0.5  # for which requests are still taken after being told to stop
-    finish_s: float = 3.4  # after which all that is still open is ended
-    finish_beyond_s: float = 0.4  # or that much after the longest hard limit, where that is sooner
-    reread_s: float = 3.0  # for which a file that can't be read at SIGHUP is read again
-    bind_s: float = 2.0  # for which a node that starts tries to take its addresses
-    late_s: float = 0.1  # by which the loop may run late unsaid
-    log_lines: float = 20.0  # a second
+    """Limits and timeouts of the node. Each field is an optional key of the object `node`.
+
+    `_s` are seconds, `_share` fractions below 1.
+    """
+
+    queue: int = 2048  # calls waiting for the dispatcher
+    client_idle_s: float = 4.0  # idle time after which a client's connection is closed
+    client_rest_s: float = 2.0  # the same where its descriptor is needed for another client
+    client_silent_s: float = 0.25  # the same, for a connection without any request so far
+    client_patience_s: float = 2.2  # for a connection's first request, or for the rest of a command
+    client_stall_s: float = 5.0  # without progress in writing answers, before a client is closed
+    linger_s: float = 0.3  # wait for the peer to close its side of a connection
+    faults: int = 20  # successive invalid commands after which a connection is closed
+    fault_pause_s: float = 0.05  # pause in reading after each of them
+    pipelined: int = 16  # commands of one connection processed at a time
+    held_share: float = 0.2  # of the memory, for buffered commands and answers; reading stops at it
+    kept_back: int = 32  # descriptors reserved for all but clients and app servers
+    client_share: float = 0.65  # of the other descriptors, for clients
+    client_reserve_share: float = 0.125  # of the clients' ones, for temporary connections
+    idle_share: float = 0.4  # of the app servers' idle timeout, after which the node closes
+    rest_s: float = 0.02  # delay after an answer before its connection is used again
+    stall_s: float = 0.25  # wait for the rest of an app server's partial answer
+    counter_silence_s: float = 1.0  # without a due answer, before the connection is closed
+    counter_calls: int = 1024  # unanswered calls at a time
+    watch_s: float = 2.5  # longest wait of a watch on discovery, which net/discovery.py may shorten
+    answer_s: float = 3.0  # timeout for its answer beyond that wait, likewise
+    again_s: float = 0.1  # minimum delay before a retry
+    again_most_s: float = 5.0  # maximum delay for discovery, unless it is a local agent
+    spared_s: float = 4.0  # initial delay between calls to discovery while it is overloaded
+    spared_most_s: float = 20.0  # maximum of that delay
+    asked_before_s: float = 0.5  # how long before a change counts as known discovery is called
+    shortage_s: float = 0.3  # of failing accepts, before connections are closed to free descriptors
+    accept_patience_s: float = 1.0  # for retries of accept for connections waiting at a shutdown
+    leave_s: float = 0.5  # for which requests are still accepted at a shutdown
+    finish_s: float = 3.4  # longest shutdown, after which open requests are ended
+    finish_beyond_s: float = 0.4  # the same, counted from the longest hard limit, if earlier
+    reread_s: float = 3.0  # for retries of reading the file at SIGHUP
+    bind_s: float = 2.0  # for retries of binding the addresses at a start
+    late_s: float = 0.1  # delay of the event loop that is not logged
+    log_lines: float = 20.0  # log lines a second
 
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """An app server as discovery tells of it: what the decisions are told, and where it listens."""
+    """An app server as discovery lists it: its facts for the decisions, and its address if it has one."""
 
     facts: ServerFacts
     address: Address | None
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """All that one edge node is told."""
+    """The configuration of one edge node. Times are in seconds."""
 
     name: str
     listen: Address
@@ -90,28 +94,28 @@
     sockets: int
     memory: int  # bytes
     known: tuple[Listed, ...]
-    known_index: int | None  # the version of that list
+    known_index: int | None  # the version of the list `known`
     facts: StartFacts
-    reported: dict[str, str]  # fields of a load report that are told, with their names in the decisions
+    reported: dict[str, str]  # load report fields in use -> their names in the decisions
     most_open: int
     connect_time_out: float
     idle_close: float
-    pushed: bool = False  # lists are, to an agent on this machine
+    pushed: bool = False  # whether lists are pushed to a discovery agent on this machine
     bounds: Bounds = field(default_factory=Bounds)
-    subsets: Terms | None = USUAL  # of app servers, as the operators' file says; None: off
+    subsets: Terms | None = USUAL  # of app servers; None if the node uses all
 
     @property
     def client_descriptors(self) -> int:
-        """How many descriptors clients may hold."""
+        """The number of descriptors for clients."""
         return int((self.sockets - self.bounds.kept_back) * self.bounds.client_share)
 
     @property
     def server_descriptors(self) -> int:
-        """How many descriptors connections to app servers may hold."""
+        """The number of descriptors for connections to app servers."""
         return self.sockets - self.bounds.kept_back - self.client_descriptors
 
 
-FIXED = {  # what can't change while the node runs, by the keys that it is read from
+FIXED = {  # fields of `Deployment` that change only with a restart -> their keys
     "name": "name",
     "listen": "listen",
     "peer_listen": "peer_listen",
@@ -131,13 +135,16 @@
 
 
 def fixed_changes(before: Deployment, after: Deployment) -> list[str]:
-    """The keys that differ and take a restart. So does a counter that comes or goes."""
-    keys = [key for row, key in FIXED.items() if getattr(before, row) != getattr(after, row)]
+    """The keys that differ and take a restart to change; adding or removing a counter does, too."""
+    keys = [
+        key for attribute, key in FIXED.items() if getattr(before, attribute) != getattr(after, attribute)
+    ]
     return keys + ["counter"] * ((before.counter is None) != (after.counter is None))
 
 
 def address(value: object, key: str) -> Address:
-    """
+    """Parses an IPv4 address with a port; raises `Faulty` naming `key`.
+
     >>> address("10.0.0.4:6379", "listen")
     ('10.0.0.4', 6379)
     """
@@ -145,22 +152,24 @@
     try:
         if port.isdecimal() and 0 < int(port) < 65536:
             return str(IPv4Address(host)), int(port)
-    except ValueError:  # names are not looked up: that could hold up the whole node
+    except ValueError:  # also for host names, since a lookup could block the node
         pass
-    raise Faulty(f"{key}: {value!r} is no IPv4 address with a port")
+    raise Faulty(f"{key}: {value!r} is not an IPv4 address with a port")
 
 
 def flat(value: object, path: str = "") -> Fields:
-    """Nested JSON as path=value, lists with a count.
+    """Flattens nested JSON to dotted paths and values as text; each list gets an entry with its length.
 
     >>> flat({"a": [{"b": 1.5}], "c": True})
     {'a.count': '1', 'a.0.b': '1.5', 'c': 'true'}
     """
     if isinstance(value, dict):
-        return {k: v for name, one in value.items() for k, v in flat(one, f"{path}{name}.").items()}
+        return {k: v for name, item in value.items() for k, v in flat(item, f"{path}{name}.").items()}
     if isinstance(value, list):
-        rows = {f"{path}count": str(len(value))}
-        return rows | {k: v for at, one in enumerate(value) for k, v in flat(one, f"{path}{at}.").items()}
+        entries = {f"{path}count": str(len(value))}
+        return entries | {
+            k: v for index, item in enumerate(value) for k, v in flat(item, f"{path}{index}.").items()
+        }
     key = path[:-1]
     if isinstance(value, bool):
         return {key: "true" if value else "false"}
@@ -168,9 +177,9 @@
 
 
 def listed(entry: object) -> Listed:
-    """One app server, as discovery's list or `known` has it."""
+    """Parses one app server from discovery's list or from `known`; raises `Malformed`."""
     if not isinstance(entry, Mapping):
-        raise Malformed(f"an app server is no object but {entry!r:.60}")
+        raise Malformed(f"an app server is not an object: {entry!r:.60}")
     values = flat(dict(entry))
     status = known(PRESENCES, text(values, "status"), "status")
     facts = ServerFacts(
@@ -183,14 +192,17 @@
         machine=values.get("type", ""),
     )
     try:
-        where = address(entry.get("address"), "address") if "address" in entry or status != "gone" else None
-    except Faulty as wrong:
-        raise Malformed(f"app server {facts.server}: {wrong}") from None
-    return Listed(facts, where)
+        server_address = (
+            address(entry.get("address"), "address") if "address" in entry or status != "gone" else None
+        )
+    except Faulty as error:
+        raise Malformed(f"app server {facts.server}: {error}") from None
+    return Listed(facts, server_address)
 
 
 def page(document: object) -> tuple[int, bool, list[Listed]]:
-    """An answer of discovery: version, whether it is the whole list, and the entries."""
+    """Parses an answer of discovery: the version, whether it is the whole list, and the entries. Raises
+    `Malformed`."""
     if not isinstance(document, Mapping) or not isinstance(document.get("endpoints"), list):
         raise Malformed("no list of endpoints")
     index = document.get("index")
@@ -199,130 +211,134 @@
     return index, document.get("snapshot") is True, [listed(entry) for entry in document["endpoints"]]
 
 
-def bounds_of(given: object) -> Bounds:
-    if not isinstance(given, Mapping):
-        raise Faulty("node: is no object")
-    rows = {row.name: row.default for row in fields(Bounds)}
-    for name, value in given.items():
-        if name not in rows:
+def parse_bounds(document: object) -> Bounds:
+    """Parses the object `node`; raises `Faulty`."""
+    if not isinstance(document, Mapping):
+        raise Faulty("node: is not an object")
+    defaults = {bound.name: bound.default for bound in fields(Bounds)}
+    for name, value in document.items():
+        if name not in defaults:
             raise Faulty(f"node.{name}: there is no such key")
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e12:
-            raise Faulty(f"node.{name}: {value!r} is no number above 0")
-        if isinstance(rows[name], int) and not isinstance(value, int):
-            raise Faulty(f"node.{name}: {value!r} is no whole number")
+            raise Faulty(f"node.{name}: {value!r} is not a number above 0")
+        if isinstance(defaults[name], int) and not isinstance(value, int):
+            raise Faulty(f"node.{name}: {value!r} is not a whole number")
         if name.endswith("_share") and value >= 1:
-            raise Faulty(f"node.{name}: {value!r} is no share below 1")
-    return Bounds(**given)
+            raise Faulty(f"node.{name}: {value!r} is not a share below 1")
+    return Bounds(**document)
 
 
-def check_facts(facts: StartFacts) -> None:
-    """What the decisions could not work with, by the key it came from."""
+def validate_facts(facts: StartFacts) -> None:
+    """Validates what the decisions require; raises `Faulty` naming the key."""
     if not facts.lanes:
         raise Faulty("settings.classes: is missing or empty")
     if not facts.plans:
         raise Faulty("settings.tariffs: is missing or empty")
-    for at, lane in enumerate(facts.lanes):
+    for index, lane in enumerate(facts.lanes):
         if min(lane.quoted_time, lane.hard_limit) <= 0:
-            raise Faulty(f"settings.classes.{at}: aimS and deadlineS must be above 0")
-    for at, plan in enumerate(facts.plans):
+            raise Faulty(f"settings.classes.{index}: aimS and deadlineS must be above 0")
+    for index, plan in enumerate(facts.plans):
         if min(plan.rate, plan.burst, plan.open_limit, plan.ceiling_rate, plan.ceiling_burst) < 0:
-            raise Faulty(f"settings.tariffs.{at}: a quota is below 0")
-    for key, value, least in (
+            raise Faulty(f"settings.tariffs.{index}: a quota is below 0")
+    for key, value, minimum in (
         ("balancers", facts.gateways, 1),
         ("slotNo", facts.number, 0),
         ("limits.maxAttempts", facts.most_executions, 1),
     ):
-        if value < least:
-            raise Faulty(f"settings.{key}: {value!r} is below {least}")
+        if value < minimum:
+            raise Faulty(f"settings.{key}: {value!r} is below {minimum}")
     if min(facts.warm_within, facts.tip_window, facts.tip_multiple) <= 0:
         raise Faulty("settings.rules: warmWithinS, fallS and tipMultiple must be above 0")
 
 
-def deployment_of(given: object, environment: Mapping[str, str]) -> Deployment:
-    """Check what was read; the variables stand in for keys that the file lacks."""
-    if not isinstance(given, Mapping):
-        raise Faulty("the configuration is no JSON object")
+def deployment_of(document: object, environment: Mapping[str, str]) -> Deployment:
+    """Validates a configuration as parsed from JSON; raises `Faulty`. Environment variables are used for the
+    keys that it lacks."""
+    if not isinstance(document, Mapping):
+        raise Faulty("the configuration is not a JSON object")
 
     def value(key: str, variable: str = "") -> Any:
-        found = given.get(key, environment.get(variable))
-        if found is None:
+        setting = document.get(key, environment.get(variable))
+        if setting is None:
             raise Faulty(f"{key}: is missing")
-        return found
+        return setting
 
     def optional(key: str) -> Address | None:
-        return address(given[key], key) if given.get(key) is not None else None
+        return address(document[key], key) if document.get(key) is not None else None
 
     if not isinstance(value("settings"), Mapping):
-        raise Faulty("settings: is no object")
-    info = flat(given["settings"])
+        raise Faulty("settings: is not an object")
+    flat_settings = flat(document["settings"])
     try:
-        facts, names = start_facts(info), reported_names(info)
-        most_open = whole(info, "limits.maxOpen", 20000)
-        connect_time_out = number(info, "limits.connectTimeoutS", 0.25)
-        idle_close = number(info, "limits.idleCloseS", 15.0)
-    except Malformed as wrong:
-        raise Faulty(f"settings: {wrong}") from None
-    check_facts(facts)
+        facts, names = start_facts(flat_settings), reported_names(flat_settings)
+        most_open = whole(flat_settings, "limits.maxOpen", 20000)
+        connect_time_out = number(flat_settings, "limits.connectTimeoutS", 0.25)
+        idle_close = number(flat_settings, "limits.idleCloseS", 15.0)
+    except Malformed as error:
+        raise Faulty(f"settings: {error}") from None
+    validate_facts(facts)
     try:
-        version, _, servers = page(given["known"]) if given.get("known") is not None else (None, True, [])
-    except Malformed as wrong:
-        raise Faulty(f"known: {wrong}") from None
-    seed, peers, limits = value("seed"), given.get("peers", []), given.get("limits", {})
+        version, _, servers = (
+            page(document["known"]) if document.get("known") is not None else (None, True, [])
+        )
+    except Malformed as error:
+        raise Faulty(f"known: {error}") from None
+    seed, peers, limits = value("seed"), document.get("peers", []), document.get("limits", {})
     try:
         seed = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
-        raise Faulty(f"seed: {seed!r} is no number in hex digits") from None
+        raise Faulty(f"seed: {seed!r} is not a number in hex digits") from None
     if not isinstance(peers, list):
-        raise Faulty("peers: is no list")
+        raise Faulty("peers: is not a list")
     if not isinstance(limits, Mapping):
-        raise Faulty("limits: is no object")
+        raise Faulty("limits: is not an object")
     sockets, memory = limits.get("sockets", 1024), limits.get("memory_mb", 128)
-    bounds = bounds_of(given.get("node", {}))
+    bounds = parse_bounds(document.get("node", {}))
     if not isinstance(sockets, int) or sockets < 2 * bounds.kept_back:
-        raise Faulty(f"limits.sockets: {sockets!r} is no whole number of {2 * bounds.kept_back} or more")
+        raise Faulty(f"limits.sockets: {sockets!r} is not a whole number of {2 * bounds.kept_back} or more")
     if isinstance(memory, bool) or not isinstance(memory, int | float) or not 8 <= memory < 1e9:
-        raise Faulty(f"limits.memory_mb: {memory!r} is no number of 8 or more")
-    if facts.may_count and given.get("counter") is None:
-        raise Faulty("counter: is missing, and settings.familyInfo.mayCount says that there is one")
-    found = Deployment(
+        raise Faulty(f"limits.memory_mb: {memory!r} is not a number of 8 or more")
+    if facts.may_count and document.get("counter") is None:
+        raise Faulty("counter: is missing, but settings.familyInfo.mayCount requires it")
+    deployment = Deployment(
         name=str(value("name", "LB_NAME")),
         listen=address(value("listen", "LB_LISTEN"), "listen"),
         discovery=address(value("discovery", "LB_DISCOVERY"), "discovery"),
         counter=optional("counter"),
         peer_listen=optional("peer_listen"),
         peers_all=optional("peers_all"),
-        peers=tuple(address(one, f"peers.{at}") for at, one in enumerate(peers)),
+        peers=tuple(address(item, f"peers.{index}") for index, item in enumerate(peers)),
         seed=seed,
         sockets=sockets,
         memory=int(memory * (1 << 20)),
         known=tuple(servers),
         known_index=version,
         facts=facts,
-        reported={name: told for name, told in REPORTED.items() if told in names},
+        reported={name: decision_name for name, decision_name in REPORTED.items() if decision_name in names},
         most_open=most_open,
         connect_time_out=connect_time_out,
         idle_close=idle_close,
-        pushed=info.get("discovery") == "pushed",
+        pushed=flat_settings.get("discovery") == "pushed",
         bounds=bounds,
     )
-    if min(found.client_descriptors, found.server_descriptors) < LEAST_DESCRIPTORS:
+    if min(deployment.client_descriptors, deployment.server_descriptors) < MIN_DESCRIPTORS:
         raise Faulty(
-            f"limits.sockets: {sockets!r} leaves {found.client_descriptors} for clients and "
-            f"{found.server_descriptors} for app servers, and {LEAST_DESCRIPTORS} each is the least"
+            f"limits.sockets: {sockets!r} leaves {deployment.client_descriptors} for clients and "
+            f"{deployment.server_descriptors} for app servers; each needs at least {MIN_DESCRIPTORS}"
         )
-    return found
+    return deployment
 
 
 def read_deployment(environment: Mapping[str, str]) -> Deployment:
-    """Read the file that LB_CONFIG names."""
+    """Reads the file named by LB_CONFIG; raises `Faulty`."""
     path = environment.get("LB_CONFIG")
     if not path:
         raise Faulty("LB_CONFIG: the variable is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            given = json.load(file)
-    except OSError as wrong:
-        raise Unreadable(f"LB_CONFIG: {path} can't be read: {wrong.strerror}") from wrong
-    except ValueError as wrong:
-        raise Unreadable(f"LB_CONFIG: {path} is no JSON: {wrong}") from wrong
-    return deployment_of(given, environment)
+            document = json.load(file)
+    except OSError as error:
+        raise Unreadable(f"LB_CONFIG: {path} can't be read: {error.strerror}") from error
+    except ValueError as error:
+        raise Unreadable(f"LB_CONFIG: {path} is not JSON: {error}") from error
+    return deployment_of(document, environment)
--- a/merlintally/net/sockets.py
+++ b/merlintally/net/sockets.py
@@ -1,7 +1,7 @@
-"""Sockets that never block: reads into a buffer that is parsed in place, gathered writes, allowances.
+"""Non-blocking sockets: reads into a buffer that is parsed in place, gathered writes, and resource limits.
 
-The node keeps its own sockets under anyio's readiness calls, since its rules need to know exactly how much
-of a message was written when a connection broke.
+The node uses plain sockets with anyio's readiness calls, since it has to know exactly how much of a message
+was written when a connection breaks.
 """
 
 from __future__ import annotations
@@ -14,29 +14,32 @@
 import anyio
 
 Buffer = bytes | bytearray | memoryview
-GATHERED = 64  # buffers in one write, well below what any system allows
+MAX_BUFFERS_PER_WRITE = 64  # below the limit of any system
 INITIAL_BUFFER_BYTES = 2048
 MAX_BUFFER_BYTES = 160 << 10  # holds two of the largest values of a message
-RETRY_S = 0.01  # until a call that failed for want of something is made again
-SHORTAGES = frozenset({errno.ENOBUFS, errno.ENOMEM})  # the connection is as it was
-# Of the way to the other side: the connection may live on; where it does not, the next call tells its end.
-UNREACHABLE = frozenset(
+RETRY_S = 0.01  # delay before a system call that failed for lack of a resource is repeated
+SHORTAGES = frozenset({errno.ENOBUFS, errno.ENOMEM})  # leave the connection intact
+# Errors of the route, which the connection may survive; if it does not, the next call reports its end.
+ROUTE_ERRORS = frozenset(
     {errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTDOWN}
 )
 
 
-# States of a TCP connection (TCP_INFO) in which the other side has ended: FIN behind bytes not read yet.
+# TCP states (TCP_INFO) in which the peer has sent its FIN, even if bytes before it have not been read yet.
 ENDED_STATES = frozenset({8, 9, 11})  # CLOSE_WAIT, LAST_ACK, CLOSING
 
 
-def passes(wrong: OSError) -> bool:
-    """Whether a read or write that failed is made again. Guards against a request that is lost with its
-    connection, which one call found short of memory, or its way broken for a moment."""
-    return wrong.errno in SHORTAGES or wrong.errno in UNREACHABLE
+def passes(error: OSError) -> bool:
+    """Whether a failed read or write is to be repeated: the error may pass, and closing the connection would
+    lose its requests."""
+    return error.errno in SHORTAGES or error.errno in ROUTE_ERRORS
 
 
 class Allowance:
-    """A number of things that may be held at once: descriptors, or bytes."""
+    """Limits a resource held at one time, such as descriptors or bytes of memory.
+
+    `take` never blocks and may exceed the limit; callers check `full`, or await `room`, before.
+    """
 
     def __init__(self, most: int) -> None:
         self.most, self.held = most, 0
@@ -55,35 +58,40 @@
         freed.set()
 
     async def room(self) -> None:
+        """Waits until the limit is not reached."""
         while self.full:
             await self._freed.wait()
 
 
-def gather(sock: socket.socket, buffers: Sequence[Buffer]) -> list[Buffer]:
-    """Write as much as can be written now, and return what is left. A broken connection raises OSError."""
-    left = list(buffers)
-    while left:
+def send_buffers(sock: socket.socket, buffers: Sequence[Buffer]) -> list[Buffer]:
+    """Writes as much as possible without blocking and returns the rest. Raises OSError if the connection is
+    broken."""
+    rest = list(buffers)
+    while rest:
         try:
-            written = sock.sendmsg(left[:GATHERED])
+            written = sock.sendmsg(rest[:MAX_BUFFERS_PER_WRITE])
         except (BlockingIOError, InterruptedError):
-            return left
-        except OSError as wrong:
-            if passes(wrong):
-                return left
+            return rest
+        except OSError as error:
+            if passes(error):
+                return rest
             raise
-        done = 0
-        while done < len(left) and written >= len(left[done]):
-            written -= len(left[done])
-            done += 1
-        del left[:done]
-        if left and written:
-            left[0] = memoryview(left[0])[written:]
-    return left
+        complete = 0
+        while complete < len(rest) and written >= len(rest[complete]):
+            written -= len(rest[complete])
+            complete += 1
+        del rest[:complete]
+        if rest and written:
+            rest[0] = memoryview(rest[0])[written:]
+    return rest
 
 
 class Stream:
-    """One connected socket: bytes `start` to `end` of `buffer` are read and not yet used. What the buffer has
-    beyond its first size is held from an allowance; one that `waits` grows only when that has room."""
+    """A connected socket with a receive buffer, whose bytes from `start` to `end` are not yet consumed.
+
+    The buffer's size beyond the initial one counts against the limit `held`. With `waits`, the buffer grows
+    only while that limit is not reached; otherwise it grows regardless.
+    """
 
     def __init__(self, sock: socket.socket, held: Allowance | None = None, waits: bool = True) -> None:
         self.sock, self.closed, self.was_reset = sock, False, False
@@ -92,32 +100,33 @@
         self.unsent: list[Buffer] = []
 
     async def receive(self) -> int:
-        """Wait for more bytes; 0 when the other side has ended or the connection is broken or closed."""
+        """Waits for more bytes and returns their number; 0 if the peer has ended, or the connection is broken
+        or closed."""
         while not self.closed:
-            if not await self._ready(anyio.wait_readable):
+            if not await self._wait_ready(anyio.wait_readable):
                 continue
             self._make_room()
             while self.end == len(self.buffer) and self.waits and self.held.full and not self.closed:
                 await self.held.room()
             self._grow()
             try:
-                got = self.sock.recv_into(memoryview(self.buffer)[self.end :])
+                count = self.sock.recv_into(memoryview(self.buffer)[self.end :])
             except (BlockingIOError, InterruptedError):
                 continue
-            except OSError as wrong:
-                if wrong.errno not in SHORTAGES:
-                    self.was_reset = True  # it stays so: what ends behind it may not be whole
-                if not passes(wrong):
+            except OSError as error:
+                if error.errno not in SHORTAGES:
+                    self.was_reset = True  # stays set: data that ends after it may be incomplete
+                if not passes(error):
                     return 0
                 await anyio.sleep(RETRY_S)
                 continue
-            self.end += got
-            return got
+            self.end += count
+            return count
         return 0
 
-    async def _ready(self, wait: Callable[[socket.socket], Awaitable[None]]) -> bool:
-        """Wait for the socket; False where another task has closed it meanwhile, or it can't be waited for:
-        the system may be short of memory for that, for a moment."""
+    async def _wait_ready(self, wait: Callable[[socket.socket], Awaitable[None]]) -> bool:
+        """Waits for the socket. Returns False if another task has closed it meanwhile, or the system could
+        not wait for it, for example for lack of memory."""
         try:
             await wait(self.sock)
         except anyio.ClosedResourceError:
@@ -134,59 +143,59 @@
                 self.held.give(len(self.buffer) - INITIAL_BUFFER_BYTES)
                 self.buffer = bytearray(INITIAL_BUFFER_BYTES)
         elif self.start and self.end == len(self.buffer):
-            kept = self.buffer[self.start : self.end]
-            self.buffer[: len(kept)] = kept
-            self.start, self.end = 0, len(kept)
+            unconsumed = self.buffer[self.start : self.end]
+            self.buffer[: len(unconsumed)] = unconsumed
+            self.start, self.end = 0, len(unconsumed)
 
     def _grow(self) -> None:
         if self.end == len(self.buffer):
-            more = min(len(self.buffer) * 3, max(0, MAX_BUFFER_BYTES - len(self.buffer)))
-            self.held.take(more)
-            self.buffer.extend(bytes(more))
+            growth = min(len(self.buffer) * 3, max(0, MAX_BUFFER_BYTES - len(self.buffer)))
+            self.held.take(growth)
+            self.buffer.extend(bytes(growth))
 
     @property
     def overfull(self) -> bool:
+        """Whether as many bytes are unconsumed as the buffer may hold."""
         return self.end - self.start >= MAX_BUFFER_BYTES
 
     def write(self, buffers: Sequence[Buffer]) -> bool:
-        """Write at once what can be; whether nothing is left, else `flush` has to follow."""
-        self.unsent = [*self.unsent, *buffers] if self.unsent else gather(self.sock, buffers)
+        """Writes without blocking. Returns whether all was written; if not, `flush` has to follow."""
+        self.unsent = [*self.unsent, *buffers] if self.unsent else send_buffers(self.sock, buffers)
         return not self.unsent
 
     async def flush(self, allowed: Callable[[], bool] = lambda: True) -> None:
-        """Write what is left, or as much as can be until another task closes the connection, or it is no
-        longer `allowed`. Guards against a fault of one connection that ends the node's group of tasks."""
+        """Writes the rest, until another task closes the connection or `allowed` returns False."""
         while self.unsent and not self.closed:
-            if not await self._ready(anyio.wait_writable):
+            if not await self._wait_ready(anyio.wait_writable):
                 continue
             if not allowed():
                 return
-            before = self.unsent
-            self.unsent = gather(self.sock, before)
-            if len(self.unsent) == len(before) and self.unsent[0] is before[0]:
-                await anyio.sleep(RETRY_S)  # guards against a loop that spins on calls that fail
+            unsent_before = self.unsent
+            self.unsent = send_buffers(self.sock, unsent_before)
+            if len(self.unsent) == len(unsent_before) and self.unsent[0] is unsent_before[0]:
+                await anyio.sleep(RETRY_S)  # nothing was written: prevents a busy loop
 
     def peer_ended(self) -> bool:
-        """Whether the other side has ended its sending, or the connection is broken, as far as can be seen
-        without reading on: also behind bytes that are not read."""
+        """Whether the peer has ended its sending or the connection is broken, as far as the system reports it
+        without a read; an end after unread bytes is included."""
         try:
             if not self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return True
         except (BlockingIOError, InterruptedError):
             return False
-        except OSError as wrong:
-            return not passes(wrong)
-        return self._state() in ENDED_STATES
+        except OSError as error:
+            return not passes(error)
+        return self._tcp_state() in ENDED_STATES
 
-    def _state(self) -> int:
-        """The connection's state as the system has it; 0 where it does not say."""
+    def _tcp_state(self) -> int:
+        """The TCP state of the connection; 0 if the system does not provide it."""
         try:
             return self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         except (OSError, IndexError):
             return 0
 
     def quiet(self) -> bool:
-        """Whether nothing waits unread: the other side has neither ended, nor said anything more."""
+        """Whether there is nothing to read: neither bytes nor the peer's end nor an error."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except (BlockingIOError, InterruptedError):
@@ -196,46 +205,49 @@
         return False
 
     def end_sending(self) -> None:
+        """Shuts down the sending direction."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def hang_up(self) -> None:
-        """End both directions at once; the task that reads it wakes and closes it. Where that fails, it is
-        closed here: what is called off must not go on."""
+        """Shuts down both directions, which wakes the reading task to close the socket. If that fails, the
+        socket is closed here, so that a cancelled exchange does not continue."""
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
         except OSError:
             self.close()
 
     def close(self) -> None:
+        """Closes the socket and releases the buffer's memory; does nothing if closed."""
         if not self.closed:
             self.closed = True
             self.held.give(len(self.buffer) - INITIAL_BUFFER_BYTES)
             anyio.notify_closing(self.sock)
-            with suppress(OSError):  # the descriptor is free all the same
+            with suppress(OSError):  # the descriptor is released even then
                 self.sock.close()
 
 
 def prepared(sock: socket.socket) -> socket.socket:
-    """Have a TCP socket never block, and send at once what is written, where the system takes that up."""
+    """Makes a TCP socket non-blocking and disables Nagle's algorithm if possible."""
     sock.setblocking(False)
-    with suppress(OSError):  # guards against a request that is lost with a connection that is only slower
+    with suppress(OSError):  # the connection is only slower without it
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def tcp_socket() -> socket.socket:
+    """A new non-blocking TCP socket; raises OSError."""
     return prepared(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
 
 
-async def connect(sock: socket.socket, where: tuple[str, int]) -> None:
-    """Connect a socket that does not block; raises OSError when it can't be."""
+async def connect(sock: socket.socket, address: tuple[str, int]) -> None:
+    """Connects a non-blocking socket; raises OSError."""
     try:
-        sock.connect(where)
+        sock.connect(address)
         return
     except (BlockingIOError, InterruptedError):
         pass
     await anyio.wait_writable(sock)
-    if code := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-        raise OSError(code, "connect failed")
-    sock.getpeername()  # raises where it was ended meanwhile
+    if error_number := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        raise OSError(error_number, "connect failed")
+    sock.getpeername()  # raises if the connection has ended meanwhile
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -17,7 +17,7 @@
 from merlintally.net.backoff import Backoff
 from merlintally.net.configuration import (
     Faulty,
-    bounds_of,
+    parse_bounds,
     deployment_of,
     fixed_changes,
     page,
@@ -29,7 +29,7 @@
 from merlintally.net.phases import Phase, Phases
 from merlintally.net.resp import array, array_at
 from merlintally.net.servers import parse_answer, parse_numbers
-from merlintally.net.sockets import Buffer, Stream, gather
+from merlintally.net.sockets import Buffer, Stream, send_buffers
 from merlintally.net.timers import Clock
 
 
@@ -216,7 +216,7 @@
     over = list[object]()
     dispatcher: Any = SimpleNamespace(counted=lambda *row: over.append(row[1]))
     timers: Any = None
-    counter = Counter(("127.0.0.1", 1), 0.08, bounds_of({}), dispatcher, Clock(), timers, Log("n", 1.0))
+    counter = Counter(("127.0.0.1", 1), 0.08, parse_bounds({}), dispatcher, Clock(), timers, Log("n", 1.0))
     call = Call(7, b"tally 7 1 60000\r\n", 0.0)
     counter.unsent.append(call)
     counter.expired(call)
@@ -228,11 +228,11 @@
     with ours, theirs:
         ours.setblocking(False)
         sent: list[Buffer] = [os.urandom(700), bytearray(os.urandom(1 << 20)), b"", os.urandom(9)]
-        left, heard = gather(ours, sent), b""
+        left, heard = send_buffers(ours, sent), b""
         assert 0 < sum(map(len, left)) < 1 << 20
         while left:
             heard += theirs.recv(1 << 20)
-            left = gather(ours, left)
+            left = send_buffers(ours, left)
         ours.close()
         while got := theirs.recv(1 << 20):
             heard += got
@@ -323,7 +323,7 @@
         ("discovery: is missing", {"discovery": None}),
         ("seed: 'x'", {"seed": "x"}),
         ("peers.1: 7", {"peers": ["1.2.3.4:1", 7]}),
-        ("peers: is no list", {"peers": "a:1"}),
+        ("peers: is not a list", {"peers": "a:1"}),
         ("limits.sockets: 'many'", {"limits": {"sockets": "many"}}),
         ("known: no list", {"known": {"index": 1}}),
         (
@@ -331,7 +331,7 @@
             {"known": {"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "no"}]}},
         ),
         ("known: field 'status'", {"known": {"index": 1, "endpoints": [{"name": "s", "status": "UP"}]}}),
-        ("settings: is no object", {"settings": 3}),
+        ("settings: is not an object", {"settings": 3}),
         ("settings.classes: is missing", {"settings": {}}),
         ("classes.0.deadlineS", {"settings": settings(classes=[{"name": "look", "deadlineS": "long"}])}),
         (
@@ -363,7 +363,7 @@
         {"LB_NAME": "n3", "LB_LISTEN": "1.2.3.4:5", "LB_DISCOVERY": "1.2.3.4:6"},
     )
     assert (told.name, told.listen, told.discovery, told.seed) == ("n3", ("1.2.3.4", 5), ("1.2.3.4", 6), 15)
-    assert told.bounds == bounds_of({}) and told.counter is None and told.known == ()
+    assert told.bounds == parse_bounds({}) and told.counter is None and told.known == ()
 
 
 def test_another_configuration_names_what_takes_a_restart() -> None:
