--- a/merlintally/net/__init__.py
+++ b/merlintally/net/__init__.py
@@ -1,4 +1,4 @@
-"""The real edge node: the decisions of merlintally.choice on sockets. `EdgeNode` is what to embed."""
+"""The edge node: merlintally.choice makes its decisions. Use `EdgeNode` to embed a node in a program."""
 
 from merlintally.net.configuration import Deployment, Faulty, read_deployment
 from merlintally.net.node import EdgeNode
--- a/merlintally/net/backoff.py
+++ b/merlintally/net/backoff.py
@@ -1,4 +1,4 @@
-"""When to ask again an outside party that failed, or that says it has too much to do."""
+"""Backoff for calls to a service that fails or is overloaded."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 
 class Backoff:
-    """Waits in seconds, drawn anew each time. Guards against hundreds of nodes that ask again in one beat.
+    """Randomized delays in seconds before the next call, so that many nodes don't retry at the same time.
 
-    A party that fails is asked again after `first` to `most`, over a range that doubles with each failure in
-    a row. One that is overloaded works also on calls that nobody waits for any more, and answers none in
-    time until all ask less: a refusal opens a pause of `spared`, each further one doubles it up to
-    `spared_most`, and each answer shortens the next one.
+    After a failure the delay is at least `min_s`, drawn from a range that doubles with each successive
+    failure up to `max_s`. After a refusal by an overloaded service it is around `refusal_min_s`, doubled with
+    each further refusal up to `refusal_max_s`. Answers shorten the pause gradually: an overloaded service
+    still works on calls that have timed out, and recovers only if the load stays lower for a while.
     """
 
     def __init__(
-        self, dice: random.Random, first: float, most: float, spared: float, spared_most: float
+        self, rng: random.Random, min_s: float, max_s: float, refusal_min_s: float, refusal_max_s: float
     ) -> None:
-        self.dice, self.first, self.most = dice, first, most
-        self.spared, self.spared_most = spared, spared_most
-        self.failures, self.pause = 0, 0.0
+        self.rng, self.min_s, self.max_s = rng, min_s, max_s
+        self.refusal_min_s, self.refusal_max_s = refusal_min_s, refusal_max_s
+        self.failures, self.pause_s = 0, 0.0
 
     def failed(self) -> float:
-        """Seconds to wait after one more failure."""
+        """The delay after a failure."""
         self.failures += 1
-        return self.dice.uniform(self.first, max(self.first, min(self.most, self.first * 2.0**self.failures)))
+        return self.rng.uniform(self.min_s, max(self.min_s, min(self.max_s, self.min_s * 2.0**self.failures)))
 
     def refused(self) -> float:
-        """Seconds to wait after a refusal by one that is overloaded."""
-        self.pause = min(self.spared_most, max(self.spared, 2 * self.pause))
-        return self.pause * self.dice.uniform(0.5, 1.5)
+        """The delay after a refusal by an overloaded service."""
+        self.pause_s = min(self.refusal_max_s, max(self.refusal_min_s, 2 * self.pause_s))
+        return self.pause_s * self.rng.uniform(0.5, 1.5)
 
     def worked(self) -> None:
-        """It has answered."""
-        self.failures, self.pause = 0, self.pause * 0.6 if self.pause > self.spared / 4 else 0.0
+        """Records an answer: resets the failures and shortens the delay after the next refusal."""
+        self.failures, self.pause_s = 0, self.pause_s * 0.6 if self.pause_s > self.refusal_min_s / 4 else 0.0
--- a/merlintally/net/discovery.py
+++ b/merlintally/net/discovery.py
@@ -63,7 +63,7 @@
         """Continues at another address with the whole list, since its versions may differ."""
         if address != self.address:
             self.address, self.version, self.answered = address, None, False
-            self.backoff.failures, self.backoff.pause = 0, 0.0
+            self.backoff.failures, self.backoff.pause_s = 0, 0.0
             self._scope.cancel()
 
     async def run(self) -> None:
--- a/merlintally/net/log.py
+++ b/merlintally/net/log.py
@@ -1,4 +1,4 @@
-"""The log: lines on standard error, limited in rate so that trouble can't flood it."""
+"""The log: rate-limited lines on standard error."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class Style(Protocol):
-    """How a line of the log is made of what is said."""
+    """Formats a log line."""
 
     def line(self, name: str, event: str, text: str, fields: Mapping[str, object], left_out: int) -> str: ...
 
 
 class Plain:
-    """Text as it was said, on one line; the fields are in the text already."""
+    """Plain text on one line; the fields are added only where there is no text."""
 
     def line(self, name: str, event: str, text: str, fields: Mapping[str, object], left_out: int) -> str:
-        more = f" ({left_out} lines left out before this one)" if left_out else ""
-        told = text or " ".join([event, *(f"{key}={value}" for key, value in fields.items())])
-        return f"{name}: {' '.join(told[:4000].split())}{more}"
+        suffix = f" ({left_out} lines left out before this one)" if left_out else ""
+        message = text or " ".join([event, *(f"{key}={value}" for key, value in fields.items())])
+        return f"{name}: {' '.join(message[:4000].split())}{suffix}"
 
 
 class Log:
-    """Prints a line for each thing said; more than `per_second` a second are counted and left out.
+    """Prints messages as lines; those beyond `per_second` a second are dropped and counted.
 
-    `follows` says whether the steps of each request are wanted, too; `reread` is called at SIGHUP, where
-    somebody has set it, to set the log anew.
+    `follows` enables messages for each step of a request. `reread`, if set, is called at SIGHUP to update the
+    log's settings.
     """
 
     def __init__(
@@ -42,13 +42,13 @@
         self.name, self.per_second, self.stream = name, per_second, stream
         self.style, self.follows = style or Plain(), follows
         self.reread: Callable[[Log], None] | None = None
-        self.room, self.at, self.left_out = per_second, time.monotonic(), 0
+        self.room, self.refilled_at, self.left_out = per_second, time.monotonic(), 0
 
     def say(self, text: str, event: str = "said", **fields: object) -> None:
-        """Say something: `event` and `fields` are for structured lines, `text` tells it all to a person."""
+        """Logs a message: `event` and `fields` for structured lines, `text` with the same content to read."""
         now = time.monotonic()
-        self.room = min(self.per_second, self.room + (now - self.at) * self.per_second)
-        self.at = now
+        self.room = min(self.per_second, self.room + (now - self.refilled_at) * self.per_second)
+        self.refilled_at = now
         if self.room < 1:
             self.left_out += 1
             return
@@ -56,8 +56,8 @@
         left_out, self.left_out = self.left_out, 0
         try:
             line = self.style.line(self.name, event, text, fields, left_out)
-        except Exception as wrong:  # guards against a style that fails, and ends the node with it
-            text = f"{text} (the log's style failed: {wrong!r})"
+        except Exception as error:  # a failing style must not end the node
+            text = f"{text} (the log's style failed: {error!r})"
             line = Plain().line(self.name, event, text, fields, left_out)
-        with suppress(OSError, ValueError):  # whoever read the log has gone; the node goes on without it
+        with suppress(OSError, ValueError):  # standard error is closed or full
             print(line, file=self.stream or sys.stderr, flush=True)
--- a/merlintally/net/peers.py
+++ b/merlintally/net/peers.py
@@ -1,4 +1,4 @@
-"""The other edge nodes: short datagrams that may come late or not at all."""
+"""Notes exchanged with the other edge nodes in UDP datagrams, without retransmission."""
 
 from __future__ import annotations
 
@@ -11,10 +11,15 @@
 from merlintally.net.log import Log
 from merlintally.net.post import Owner
 
-MOST = 256  # bytes of a datagram, by the protocol
+MAX_NOTE_BYTES = 256  # set by the protocol
 
 
 class Peers:
+    """Sends notes to all other nodes and passes received ones to the dispatcher.
+
+    `everyone` is the address that reaches all of `peers`; the index of a sender in `peers` identifies it.
+    """
+
     def __init__(
         self,
         sock: socket.socket,
@@ -23,28 +28,29 @@
         dispatcher: Owner,
         log: Log,
     ) -> None:
-        self.numbers = {peer: number for number, peer in enumerate(peers)}
+        self.peer_numbers = {peer: number for number, peer in enumerate(peers)}
         self.everyone, self.dispatcher, self.log = everyone, dispatcher, log
         self.sock = sock
 
     def tell(self, payload: bytes) -> None:
-        """To all others; what can't be sent now is lost, as it may be on its way."""
-        if self.everyone is None or len(payload) > MOST:
+        """Sends a note to all other nodes. It is dropped if it can't be sent, like notes lost on the way."""
+        if self.everyone is None or len(payload) > MAX_NOTE_BYTES:
             self.log.say(f"a note of {len(payload)} bytes can't be sent", "note.unsent", bytes=len(payload))
             return
         with suppress(OSError):
             self.sock.sendto(payload, self.everyone)
 
     async def run(self) -> None:
+        """Receives notes until cancelled."""
         while True:
             await anyio.wait_readable(self.sock)
             try:
-                payload, sender = self.sock.recvfrom(MOST + 1)
+                payload, sender = self.sock.recvfrom(MAX_NOTE_BYTES + 1)
             except OSError:
                 continue
-            number = self.numbers.get(sender)
-            if number is not None and len(payload) <= MOST:
+            number = self.peer_numbers.get(sender)
+            if number is not None and len(payload) <= MAX_NOTE_BYTES:
                 await self.dispatcher.post(self.dispatcher.noted, number, payload)
             else:
-                told = f"{len(payload)} bytes or more from {sender[0]}:{sender[1]}"
-                self.log.say(f"a datagram of {told} is dropped", "note.dropped")
+                origin = f"{len(payload)} bytes or more from {sender[0]}:{sender[1]}"
+                self.log.say(f"a datagram of {origin} is dropped", "note.dropped")
--- a/merlintally/net/roster.py
+++ b/merlintally/net/roster.py
@@ -1,4 +1,4 @@
-"""Which of the listed app servers a node is told of: those of its subset, or all where it has none."""
+"""Selects the app servers that a node uses from the list: those of its subset, or all if it has none."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 ANSWERED: tuple[Outcome, ...] = ("ok", "error", "full")
 UNANSWERED: tuple[Outcome, ...] = ("timed_out", "unreachable", "broken")
-Tell = Callable[[Sequence[Listing], bool], None]  # entries, and whether they are the whole list
+Tell = Callable[[Sequence[Listing], bool], None]  # called with entries, and whether they are the whole list
 
 
 def subset_of(deployment: Deployment) -> Subset | None:
-    """This node's subset; None where it is off, or the settings give the node no number among the others."""
+    """This node's subset; None if subsets are off or the settings don't number the node among the others."""
     facts = deployment.facts
     if deployment.subsets is None or facts.number >= facts.gateways:
         return None
@@ -24,37 +24,37 @@
 
 
 class Roster:
-    """Follows the list and the attempts, and tells what concerns the node's subset.
+    """Tracks the list and the ends of attempts, and publishes changes of the node's subset to `tell`.
 
-    A server that has left the subset is told as gone: its attempts end, and it gets nothing more.
+    A server that leaves the subset is published as gone: its attempts end, and it gets no new ones.
     """
 
     def __init__(self, subset: Subset | None, gateway: Gateway, tell: Tell) -> None:
         self.subset, self._gateway, self._tell = subset, gateway, tell
 
     def listed(self, now: float, entries: Sequence[Listing], complete: bool) -> None:
-        """Discovery has told a list, or its changes."""
+        """Applies a list from discovery, or changes to it unless `complete`."""
         if self.subset is not None:
             entries, complete = self.subset.listed(now, entries, complete)
         if entries or complete:
-            self._share_and_tell(entries, complete)
+            self._publish(entries, complete)
 
     def ended(self, now: float, server: str, outcome: Outcome) -> None:
-        """An attempt has ended: a server that leaves several without an answer counts as failing."""
+        """Records the end of an attempt: a server that leaves several unanswered counts as failing."""
         if self.subset is None or outcome not in ANSWERED + UNANSWERED:
             return
         if self.subset.reported(now, server, outcome in ANSWERED):
-            self._share_and_tell(self.subset.members(), True)
+            self._publish(self.subset.members(), True)
 
     def fit(self, now: float) -> None:
-        """Grow the subset while work waits for places in it; shrink it once a smaller one has been enough."""
+        """Grows the subset while requests wait for capacity in it; shrinks it when a smaller one suffices."""
         if self.subset is None or not self.subset.bounded:
             return
-        pressed = self.subset.pressed(now, waits_for_place(self._gateway, now))
-        if self.subset.wake(now) or pressed:
-            self._share_and_tell(self.subset.members(), True)
+        overloaded = self.subset.pressed(now, waits_for_place(self._gateway, now))
+        if self.subset.wake(now) or overloaded:
+            self._publish(self.subset.members(), True)
 
-    def _share_and_tell(self, entries: Sequence[Listing], complete: bool) -> None:
+    def _publish(self, entries: Sequence[Listing], complete: bool) -> None:
         if self.subset is not None and self.subset.sharing != self._gateway.sharing:
             self._gateway.share(self.subset.sharing)
         self._tell(entries, complete)
--- a/merlintally/net/timers.py
+++ b/merlintally/net/timers.py
@@ -1,4 +1,4 @@
-"""The node's clock, and the one place that keeps its timers."""
+"""The node's clock and timers."""
 
 from __future__ import annotations
 
@@ -12,53 +12,63 @@
 from merlintally.net.log import Log
 from merlintally.net.start_times import WallSteps
 
-LOOK_S = 0.005  # between two clocks that are read at once
+MAX_READ_S = 0.005  # for reading both clocks; beyond it the comparison is discarded
 
 
 class Clock:
-    """Unix time as it was when the clock was made, and real seconds since. Guards against deadlines, windows
-    and graces that shrink or stretch, and wake-ups that are missed, where the wall clock is stepped."""
+    """A monotonic clock that begins at the Unix time of its creation.
+
+    Deadlines, windows and timers that use it are not affected when the wall clock is stepped.
+    """
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
         self.wall = WallSteps()
 
     def now(self) -> float:
-        """Seconds; never runs backwards."""
+        """The time in seconds, which never decreases."""
         return time.monotonic() + self.offset
 
     def look_at_wall(self) -> float:
-        """Whether the wall clock was stepped since the last look: by how many seconds, 0 for not at all. A
-        look in which the process was held up tells nothing."""
+        """The step of the wall clock since the last call, in seconds; 0 if there was none.
+
+        Also 0 if the process was suspended between reading the two clocks, so that they can't be compared.
+        """
         before, wall, after = self.now(), time.time(), self.now()
-        return self.wall.look(wall, after) if after - before < LOOK_S else 0.0
+        return self.wall.observe(wall, after) if after - before < MAX_READ_S else 0.0
 
 
 class Timers:
-    """Hands calls to the queue at their times. None is taken back: what is no longer wanted is ignored."""
+    """Enqueues calls for the dispatcher at given times.
+
+    Timers are not cancelled: calls check by themselves whether they are still needed. A delay of more than
+    `late_limit_s` is logged.
+    """
 
-    def __init__(self, clock: Clock, post: Callable[..., Any], log: Log, late: float) -> None:
-        self.clock, self.post, self.log, self.late = clock, post, log, late
-        self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.number, self.sleeping = 0, anyio.CancelScope()
+    def __init__(self, clock: Clock, enqueue: Callable[..., Any], log: Log, late_s: float) -> None:
+        self.clock, self.enqueue, self.log, self.late_limit_s = clock, enqueue, log, late_s
+        self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []  # a heap by time
+        self.last_number, self.sleep_scope = 0, anyio.CancelScope()
 
     def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        self.number += 1
-        heapq.heappush(self.due, (when, self.number, call, args))
-        if self.due[0][1] == self.number:
-            self.sleeping.cancel()
+        """Schedules `call(*args)` for `when`, in seconds of the node's clock."""
+        self.last_number += 1
+        heapq.heappush(self.due, (when, self.last_number, call, args))
+        if self.due[0][1] == self.last_number:
+            self.sleep_scope.cancel()
 
     async def run(self) -> None:
+        """Enqueues due calls until cancelled."""
         while True:
-            with anyio.CancelScope() as self.sleeping:
+            with anyio.CancelScope() as self.sleep_scope:
                 if self.due:
                     await anyio.sleep(max(0.0, self.due[0][0] - self.clock.now()))
                 else:
                     await anyio.sleep_forever()
             now = self.clock.now()
-            if self.due and now - self.due[0][0] > self.late:
-                late = now - self.due[0][0]
-                self.log.say(f"the loop runs {late:.3f} s late", "loop.late", late_s=round(late, 3))
+            if self.due and now - self.due[0][0] > self.late_limit_s:
+                delay_s = now - self.due[0][0]
+                self.log.say(f"the loop runs {delay_s:.3f} s late", "loop.late", late_s=round(delay_s, 3))
             while self.due and self.due[0][0] <= now:
                 _, _, call, args = heapq.heappop(self.due)
-                await self.post(call, *args)
+                await self.enqueue(call, *args)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -17,10 +17,10 @@
 from merlintally.net.backoff import Backoff
 from merlintally.net.configuration import (
     Faulty,
-    parse_bounds,
     deployment_of,
     fixed_changes,
     page,
+    parse_bounds,
     read_deployment,
 )
 from merlintally.net.counter import PARTIAL_ANSWER, Call, Counter, parse_outcome
@@ -273,10 +273,10 @@
     refused = [waits.refused() for _ in range(4)]
     assert all(0.5 * pause <= one <= 1.5 * pause for one, pause in zip(refused, (4, 8, 16, 20), strict=True))
     waits.worked()
-    assert (waits.pause, waits.failures) == (12.0, 0) and waits.failed() <= 0.2
+    assert (waits.pause_s, waits.failures) == (12.0, 0) and waits.failed() <= 0.2
     for _ in range(6):
         waits.worked()
-    assert waits.pause == 0.0
+    assert waits.pause_s == 0.0
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0, 2.0, -2.0])
