--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Forms on the wire, and what goes with sockets, without a node."""
+"""Wire formats, sockets, configuration, and other parts of net/ without a running node."""
 
 import io
 import json
@@ -33,15 +33,15 @@
 from merlintally.net.timers import Clock
 
 
-def wrong_with(raw: bytes) -> str:
+def error_of(raw: bytes) -> str:
     try:
         taken(raw)
-    except Malformed as wrong:
-        return str(wrong)
+    except Malformed as error:
+        return str(error)
     return ""
 
 
-def test_a_command_is_whole_only_at_its_last_byte() -> None:
+def test_a_command_is_parsed_only_when_complete() -> None:
     raw = said()
     assert all(array_at(bytearray(raw), 0, stop) is None for stop in range(len(raw)))
     found = array_at(bytearray(b"xx" + raw + b"*1"), 2, len(raw) + 4)
@@ -63,24 +63,24 @@
         b"*1\r\n$\r\n",
     ],
 )
-def test_lost_framing_is_told_from_what_has_not_come(raw: bytes) -> None:
+def test_malformed_framing_is_rejected(raw: bytes) -> None:
     with pytest.raises(Malformed):
         array_at(bytearray(raw), 0, len(raw))
 
 
-def test_a_submission_goes_on_unchanged_but_for_the_time_waited() -> None:
+def test_a_request_is_forwarded_with_only_its_remaining_time_changed() -> None:
     terms = b"t=plan,c=order,d=1500,k=5c0f,x=d=1500,units=2,spread=1,first=0"
     message = b"".join(taken(said(b"Q.DO", terms, b"d=1500", number=b"7")).message(0.0724))
     assert message == said(b"Q.DO", terms.replace(b"r,d=1500", b"r,d=72"), b"d=1500", number=b"7")
 
 
-def test_a_client_waits_no_longer_than_its_lane_allows() -> None:
+def test_the_deadline_is_limited_by_the_lane() -> None:
     assert taken(said(terms=b"c=look,t=plan,d=900000000,units=1,spread=1,first=0")).deadline == 102.0
     assert taken(said(terms=b"c=look,t=plan,d=500,units=1,spread=1,first=0")).deadline == 100.5
 
 
 @pytest.mark.parametrize(
-    ("wrong", "raw"),
+    ("error", "raw"),
     [
         ("'c' names no lane", said(terms=b"c=nap,t=plan,d=9,units=1,spread=1,first=0")),
         ("'c' is missing", said(terms=b"t=plan,d=9,units=1,spread=1,first=0")),
@@ -113,8 +113,8 @@
         ("the id is", said(number=b"a b")),
     ],
 )
-def test_a_bad_submission_is_refused_by_name(wrong: str, raw: bytes) -> None:
-    assert wrong in wrong_with(raw)
+def test_an_invalid_request_is_refused_with_the_reason(error: str, raw: bytes) -> None:
+    assert error in error_of(raw)
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,7 @@
         (b"-BUSY\r\n", "full", b"", 0),
     ],
 )
-def test_answers_of_app_servers(raw: bytes, outcome: str, value: bytes, actual: float) -> None:
+def test_answers_of_app_servers_are_parsed(raw: bytes, outcome: str, value: bytes, actual: float) -> None:
     found = parse_answer(bytearray(raw), 0, len(raw), {"inflight": "held"})
     assert found is not None and found[1] == len(raw)
     assert (found[0].outcome, found[0].value, found[0].actual) == (outcome, value, actual)
@@ -154,31 +154,31 @@
         b"-" + b"x" * 600,
     ],
 )
-def test_spoilt_answers_of_app_servers(raw: bytes) -> None:
-    """Guards against one that counts as never run, or that leaves a connection in use that is of none."""
+def test_malformed_answers_of_app_servers_are_rejected(raw: bytes) -> None:
+    """Garbage must not count as a rejection, which has never run, and its connection must not be reused."""
     with pytest.raises(Malformed):
         parse_answer(bytearray(raw), 0, len(raw), {})
 
 
 @pytest.mark.parametrize("answer", ["ok", "ok many", "ok nan", "ok inf", "fine 3", ""])
-def test_malformed_answers_of_the_counter(answer: str) -> None:
+def test_malformed_answers_of_the_counter_are_rejected(answer: str) -> None:
     with pytest.raises(Malformed):
         parse_outcome(answer)
 
 
-def test_a_client_that_goes_away_before_its_send_is_done_leaves_nothing_behind() -> None:
-    """Guards against sends that the decisions hold to be out for good, and a wake-up lost with them: both
-    calls come through the queue before what is wanted of the first is done."""
+def test_a_client_leaving_before_its_request_is_sent_leaves_no_state() -> None:
+    """The client leaves after its request was decided and before the send is carried out: the decisions must
+    not count the send as in progress for good, and the wake-up is still scheduled."""
     log = io.StringIO()
     dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, log))
     dispatcher.timers = dispatcher.fleet = others = Mock()
     rows = [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]
     dispatcher.listed(page({"index": 1, "endpoints": rows})[2], True)
-    one = taken(said())
-    one.deadline = dispatcher.clock.now() + 1.0
-    dispatcher.take(one)
+    request = taken(said())
+    request.deadline = dispatcher.clock.now() + 1.0
+    dispatcher.take(request)
     assert dispatcher.gateway.out == 1
-    dispatcher.left(one)
+    dispatcher.left(request)
     dispatcher.carry_out()
     assert (dispatcher.gateway.out, dispatcher.open_requests, dispatcher.ids, log.getvalue()) == (
         0,
@@ -189,8 +189,8 @@
     assert others.at.called and not others.send.called
 
 
-def test_a_row_that_fails_takes_no_other_with_it() -> None:
-    """Guards against rejections, calls and the wake-up lost behind it."""
+def test_one_failing_result_does_not_prevent_the_others() -> None:
+    """Otherwise rejections, calls to the counter and the wake-up would be lost."""
     log = io.StringIO()
     dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, log))
     dispatcher.timers = dispatcher.counter = others = Mock()
@@ -201,45 +201,45 @@
 
 
 @pytest.mark.parametrize("part", [b"", b"o", b"ok", b"ok ", b"ok -1.5e+1", b"ok 3\r", b"busy\r", b"e"])
-def test_part_of_an_answer_of_the_counter_is_waited_for(part: bytes) -> None:
+def test_a_partial_answer_of_the_counter_is_recognized(part: bytes) -> None:
     assert PARTIAL_ANSWER.fullmatch(part)
 
 
 @pytest.mark.parametrize("part", [b"x", b"oK", b"ok x", b"\xff\xff", b"ok 1 ", b"buzz", b"ok " + b"1" * 60])
-def test_what_is_no_part_of_an_answer_is_not(part: bytes) -> None:
-    """Guards against calls that wait behind a spoilt answer for an end that never comes."""
+def test_garbage_from_the_counter_is_not_a_partial_answer(part: bytes) -> None:
+    """Calls must not wait for the end of a malformed answer, which may never come."""
     assert not PARTIAL_ANSWER.fullmatch(part)
 
 
-def test_a_call_that_no_connection_took_ends_at_its_time_all_the_same() -> None:
-    """Guards against a customer left waiting: the connection is lost, and that is not yet reported."""
-    over = list[object]()
-    dispatcher: Any = SimpleNamespace(counted=lambda *row: over.append(row[1]))
+def test_an_unsent_call_to_the_counter_times_out() -> None:
+    """The connection is lost, which has not been detected yet."""
+    outcomes = list[object]()
+    dispatcher: Any = SimpleNamespace(counted=lambda *row: outcomes.append(row[1]))
     timers: Any = None
     counter = Counter(("127.0.0.1", 1), 0.08, parse_bounds({}), dispatcher, Clock(), timers, Log("n", 1.0))
     call = Call(7, b"tally 7 1 60000\r\n", 0.0)
     counter.unsent.append(call)
     counter.expired(call)
-    assert over == ["unreachable"] and call.ended
+    assert outcomes == ["unreachable"] and call.ended
 
 
-def test_a_write_cut_short_leaves_the_rest() -> None:
+def test_a_short_write_returns_the_rest() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.setblocking(False)
         sent: list[Buffer] = [os.urandom(700), bytearray(os.urandom(1 << 20)), b"", os.urandom(9)]
-        left, heard = send_buffers(ours, sent), b""
-        assert 0 < sum(map(len, left)) < 1 << 20
-        while left:
-            heard += theirs.recv(1 << 20)
-            left = send_buffers(ours, left)
+        rest, received = send_buffers(ours, sent), b""
+        assert 0 < sum(map(len, rest)) < 1 << 20
+        while rest:
+            received += theirs.recv(1 << 20)
+            rest = send_buffers(ours, rest)
         ours.close()
-        while got := theirs.recv(1 << 20):
-            heard += got
-        assert heard == b"".join(sent)
+        while chunk := theirs.recv(1 << 20):
+            received += chunk
+        assert received == b"".join(sent)
 
 
-def test_an_idle_connection_that_the_other_side_ended_is_not_used() -> None:
+def test_an_idle_connection_closed_by_its_peer_is_detected() -> None:
     ours, theirs = socket.socketpair()
     with ours:
         ours.setblocking(False)
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize(
-    "row, read",
+    "row, parsed",
     [
         ("used=37,cost=4", {"used": 37.0, "cost": 4.0}),
         ("cost=1.2.3", {}),
@@ -260,18 +260,20 @@
         ("cost=1e9", {}),
     ],
 )
-def test_figures_that_can_not_be_read_are_dropped(row: str, read: dict[str, float]) -> None:
-    assert parse_numbers(row) == read
+def test_malformed_numbers_are_skipped(row: str, parsed: dict[str, float]) -> None:
+    assert parse_numbers(row) == parsed
 
 
-def test_backoff_spreads_failures_doubles_refusals_and_shortens_with_answers() -> None:
-    """Guards against hundreds of nodes that ask again in one beat, and one asked ever less for good."""
+def test_backoff_randomizes_failures_doubles_refusals_and_recovers_with_answers() -> None:
+    """Many nodes must not retry at the same time, and delays must shrink again after answers."""
     waits = Backoff(Random(1), 0.1, 5.0, 4.0, 20.0)
     failed = [waits.failed() for _ in range(60)]
     assert min(failed) >= 0.1 and 2.0 < max(failed) <= 5.0 and failed[0] <= 0.2 and failed[1] <= 0.4
     assert len(set(failed)) == 60
     refused = [waits.refused() for _ in range(4)]
-    assert all(0.5 * pause <= one <= 1.5 * pause for one, pause in zip(refused, (4, 8, 16, 20), strict=True))
+    assert all(
+        0.5 * pause <= delay <= 1.5 * pause for delay, pause in zip(refused, (4, 8, 16, 20), strict=True)
+    )
     waits.worked()
     assert (waits.pause_s, waits.failures) == (12.0, 0) and waits.failed() <= 0.2
     for _ in range(6):
@@ -280,25 +282,25 @@
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0, 2.0, -2.0])
-def test_the_clock_runs_on_when_the_wall_clock_is_stepped(
+def test_the_clock_is_unaffected_by_steps_of_the_wall_clock(
     step: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock, wall = Clock(), time.time
     before = clock.now()
     monkeypatch.setattr(time, "time", lambda: wall() + step)
     assert clock.look_at_wall() == pytest.approx(step, abs=0.5)
-    assert 0 <= clock.now() - before < 0.5  # no part of the step is followed, now or later
+    assert 0 <= clock.now() - before < 0.5  # no part of the step shows, now or later
     assert clock.look_at_wall() == 0.0 and clock.wall.shift == pytest.approx(step, abs=0.5)
 
 
-def test_phases_only_go_forward() -> None:
+def test_phases_only_advance() -> None:
     phases = Phases()
     phases.enter(Phase.FINISHING)
     phases.enter(Phase.SERVING)
     assert phases.current is Phase.FINISHING
 
 
-def test_the_log_is_limited_and_counts_what_it_left_out() -> None:
+def test_the_log_is_rate_limited_and_counts_dropped_lines() -> None:
     stream = io.StringIO()
     log = Log("n0", 2.0, stream)
     for number in range(50):
@@ -352,28 +354,33 @@
 def test_a_faulty_configuration_names_its_key(key: str, changes: dict[str, object]) -> None:
     given: dict[str, object] = {"name": "n", "listen": "1.2.3.4:1", "discovery": "1.2.3.4:2", "seed": "ff"}
     given |= {"settings": settings()} | changes
-    with pytest.raises(Faulty) as wrong:
+    with pytest.raises(Faulty) as error:
         deployment_of(given, {})
-    assert key in str(wrong.value) and "\n" not in str(wrong.value)
+    assert key in str(error.value) and "\n" not in str(error.value)
 
 
-def test_variables_stand_in_for_keys_and_defaults_hold() -> None:
-    told = deployment_of(
+def test_environment_variables_and_defaults_replace_missing_keys() -> None:
+    deployment = deployment_of(
         {"seed": "0f", "settings": settings()},
         {"LB_NAME": "n3", "LB_LISTEN": "1.2.3.4:5", "LB_DISCOVERY": "1.2.3.4:6"},
     )
-    assert (told.name, told.listen, told.discovery, told.seed) == ("n3", ("1.2.3.4", 5), ("1.2.3.4", 6), 15)
-    assert told.bounds == parse_bounds({}) and told.counter is None and told.known == ()
+    assert (deployment.name, deployment.listen, deployment.discovery, deployment.seed) == (
+        "n3",
+        ("1.2.3.4", 5),
+        ("1.2.3.4", 6),
+        15,
+    )
+    assert deployment.bounds == parse_bounds({}) and deployment.counter is None and deployment.known == ()
 
 
-def test_another_configuration_names_what_takes_a_restart() -> None:
+def test_changes_that_take_a_restart_are_named() -> None:
     before = told(counter=("127.0.0.1", 1))
     assert fixed_changes(before, told(counter=("127.0.0.1", 2), discovery=("127.0.0.1", 3))) == []
     assert fixed_changes(before, told(name="n1", sockets=64)) == ["name", "limits.sockets", "counter"]
 
 
 @pytest.mark.parametrize("environment", [{}, {"LB_CONFIG": "/nowhere/at/all"}, {"LB_CONFIG": __file__}])
-def test_a_configuration_that_can_not_be_read(environment: dict[str, str]) -> None:
+def test_an_unreadable_configuration_is_reported(environment: dict[str, str]) -> None:
     with pytest.raises(Faulty, match="LB_CONFIG"):
         read_deployment(environment)
 
@@ -388,16 +395,16 @@
         '{"index": 1, "endpoints": [{"name": "s", "status": "SERVING"}]}',
     ],
 )
-def test_malformed_lists_of_discovery(body: str) -> None:
+def test_malformed_lists_of_discovery_are_rejected(body: str) -> None:
     with pytest.raises(Malformed):
         page(json.loads(body))
 
 
 def presences(dispatcher: Dispatcher) -> dict[str, str]:
-    return {name: one.presence for name, one in dispatcher.gateway.servers.items()}
+    return {name: server.presence for name, server in dispatcher.gateway.servers.items()}
 
 
-def test_a_server_taken_out_for_work_gets_nothing_new_and_a_parked_node_takes_nothing() -> None:
+def test_a_server_taken_out_gets_no_requests_and_a_suspended_node_accepts_none() -> None:
     log = io.StringIO()
     dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, log))
     dispatcher.timers = dispatcher.counter = others = Mock()
@@ -406,18 +413,18 @@
     dispatcher.listed(page({"index": 1, "endpoints": rows})[2], True)
     dispatcher.take_out(frozenset({"s", "unlisted"}))
     assert presences(dispatcher) == {"s": "draining", "t": "on"}
-    dispatcher.listed(page({"index": 2, "endpoints": rows})[2], True)  # discovery lists it as on once more
+    dispatcher.listed(page({"index": 2, "endpoints": rows})[2], True)  # discovery lists it as on again
     assert presences(dispatcher) == {"s": "draining", "t": "on"}
     dispatcher.take_out(frozenset())
     assert presences(dispatcher) == {"s": "on", "t": "on"}
-    dispatcher.right, one = Mock(), Mock(answer=None, gone=False)
+    dispatcher.right, request = Mock(), Mock(answer=None, gone=False)
     dispatcher.right.may_take.return_value = False
-    dispatcher.take(one)
-    assert (one.answer, dispatcher.open_requests, log.getvalue()) == ([b"-BUSY\r\n"], {}, "")
+    dispatcher.take(request)
+    assert (request.answer, dispatcher.open_requests, log.getvalue()) == ([b"-BUSY\r\n"], {}, "")
 
 
-def test_a_send_that_the_right_forbids_by_now_is_no_send() -> None:
-    """Guards against a process stopped between its decision and its send, and continued much later."""
+def test_a_request_is_not_sent_once_permission_has_expired() -> None:
+    """The process was stopped between decision and send, and continued after the permission expired."""
     dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, io.StringIO()))
     dispatcher.timers, dispatcher.fleet, dispatcher.right = Mock(), Mock(), Mock()
     dispatcher.right.may_take.return_value = True
@@ -426,9 +433,9 @@
         page({"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]})[2],
         True,
     )
-    one = taken(said())
-    one.deadline = dispatcher.clock.now() + 1.0
-    dispatcher.take(one)
+    request = taken(said())
+    request.deadline = dispatcher.clock.now() + 1.0
+    dispatcher.take(request)
     dispatcher.carry_out()
     assert dispatcher.right.may_send.call_args.args == ("s",) and not dispatcher.fleet.send.called
-    assert one.out == {} and dispatcher.gateway.out == 0
+    assert request.out == {} and dispatcher.gateway.out == 0
