--- a/merlintally/net/configuration.py
+++ b/merlintally/net/configuration.py
@@ -252,8 +252,10 @@
 
 
 def deployment_of(document: object, environment: Mapping[str, str]) -> Deployment:
-    """Validates a configuration as parsed from JSON; raises `Faulty`. Environment variables are used for the
-    keys that it lacks."""
+    """Validates a configuration as parsed from JSON; raises `Faulty`.
+
+    Environment variables are used for the keys that it lacks.
+    """
     if not isinstance(document, Mapping):
         raise Faulty("the configuration is not a JSON object")
 
--- a/merlintally/net/discovery.py
+++ b/merlintally/net/discovery.py
@@ -29,10 +29,10 @@
     """Keeps the list of app servers up to date. Any error ends the connection; the next one continues from
     the version that the node has.
 
-    The node must learn of a change within TOLD_S. Hence each call begins at most TOLD_S less `asked_before_s`
-    after the start of the previous one, and is to be answered in the remaining time. The wait of a watch and
-    the timeout for its answer each get half of what that leaves, and so do a call that gets no answer and
-    the pause after it.
+    The node must learn of a change within TOLD_S. Hence each call begins at most that time less
+    `asked_before_s` after the start of the previous one, and is to be answered in the remaining time. The
+    wait of a watch and the timeout for its answer each get half of what that leaves, and so do a call that
+    gets no answer and the pause after it.
     """
 
     def __init__(
--- a/merlintally/net/log.py
+++ b/merlintally/net/log.py
@@ -27,8 +27,8 @@
 class Log:
     """Prints messages as lines; those beyond `per_second` a second are dropped and counted.
 
-    `follows` enables messages for each step of a request. `reread`, if set, is called at SIGHUP to update the
-    log's settings.
+    `follows` enables messages for each step of a request. `reread`, if set, is called at SIGHUP to
+    update the log's settings.
     """
 
     def __init__(
--- a/merlintally/net/node.py
+++ b/merlintally/net/node.py
@@ -296,8 +296,10 @@
 
 
 def read_with_retries(environment: Mapping[str, str]) -> Deployment:
-    """Reads the configuration at the start; raises `Faulty`. Retries for about a second where the system
-    is short of descriptors or memory."""
+    """Reads the configuration at the start; raises `Faulty`.
+
+    Retries for about a second where the system is short of descriptors or memory.
+    """
     for _ in range(READ_TRIES - 1):
         try:
             return read_deployment(environment)
--- a/merlintally/net/roster.py
+++ b/merlintally/net/roster.py
@@ -12,7 +12,8 @@
 
 ANSWERED: tuple[Outcome, ...] = ("ok", "error", "full")
 UNANSWERED: tuple[Outcome, ...] = ("timed_out", "unreachable", "broken")
-Tell = Callable[[Sequence[Listing], bool], None]  # called with entries, and whether they are the whole list
+# Called with entries, and whether they are the whole list.
+Tell = Callable[[Sequence[Listing], bool], None]
 
 
 def subset_of(deployment: Deployment) -> Subset | None:
--- a/merlintally/net/servers.py
+++ b/merlintally/net/servers.py
@@ -292,7 +292,8 @@
         if server is None or not self.guard.allows(attempt, server.presence):
             return False
         while (link := self._rested(server)) is not None:
-            if not link.dead and link.stream.quiet():  # else its server has closed it or sent garbage
+            # A connection with something to read was closed by its server, or carries garbage.
+            if not link.dead and link.stream.quiet():
                 link.begin(attempt)
                 return True
             link.end()
--- a/merlintally/net/sockets.py
+++ b/merlintally/net/sockets.py
@@ -38,7 +38,8 @@
 class Allowance:
     """Limits a resource held at one time, such as descriptors or bytes of memory.
 
-    `take` never blocks and may exceed the limit; callers check `full`, or await `room`, before.
+    `take` never blocks and may exceed the limit; callers check `full`, or await
+    `room` first.
     """
 
     def __init__(self, most: int) -> None:
@@ -89,8 +90,8 @@
 class Stream:
     """A connected socket with a receive buffer, whose bytes from `start` to `end` are not yet consumed.
 
-    The buffer's size beyond the initial one counts against the limit `held`. With `waits`, the buffer grows
-    only while that limit is not reached; otherwise it grows regardless.
+    The buffer's size beyond the initial one counts against the limit `held`. With `waits`, the
+    buffer grows only while that limit is not reached; otherwise it grows regardless.
     """
 
     def __init__(self, sock: socket.socket, held: Allowance | None = None, waits: bool = True) -> None:
