--- a/merlintally/cli/checking.py
+++ b/merlintally/cli/checking.py
@@ -58,12 +58,12 @@
 
 
 def check_deployment(path: Path) -> None:
-    from merlintally.net.configuration import Faulty, read_deployment
+    from merlintally.net.configuration import ConfigurationError, read_deployment
 
     environment = {key: value for key, value in os.environ.items() if key.startswith("LB_")}
     try:
         read_deployment({**environment, "LB_CONFIG": str(path)})
-    except Faulty as wrong:
+    except ConfigurationError as wrong:
         raise Faults([f"{path}: {wrong}"]) from None
 
 
@@ -74,9 +74,9 @@
         return
     from dataclasses import fields
 
-    from merlintally.net.configuration import FIXED, Bounds
+    from merlintally.net.configuration import RESTART_KEYS, Bounds
 
-    for row, key in FIXED.items():
+    for row, key in RESTART_KEYS.items():
         yield key, "see docs/on-call.md", "", f"{row}: changes only with a restart"
     for field in fields(Bounds):
         unit = next((unit for end, unit in UNITS.items() if field.name.endswith(end)), "")
--- a/merlintally/cli/cluster.py
+++ b/merlintally/cli/cluster.py
@@ -54,7 +54,7 @@
     exit code 1, where none does."""
     from merlintally.cluster.links import Bad
     from merlintally.cluster.links import ask as ask_one
-    from merlintally.net.configuration import address
+    from merlintally.net.configuration import parse_address
 
     id_ = id_ or f"cli:{secrets.token_hex(8)}"
     said = ""
@@ -62,7 +62,7 @@
         for where in places(part, node):
             try:
                 ok, text = anyio.run(
-                    ask_one, address(where, "node"), part.name, part.secret, id_, verb, args, 12.0
+                    ask_one, parse_address(where, "node"), part.name, part.secret, id_, verb, args, 12.0
                 )
             except (OSError, TimeoutError, Bad, anyio.EndOfStream, anyio.BrokenResourceError) as wrong:
                 said = f"{where}: {wrong or 'no answer'}"
--- a/merlintally/cli/serving.py
+++ b/merlintally/cli/serving.py
@@ -11,7 +11,7 @@
 from merlintally.net.configuration import Deployment
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log, Plain, Style
-from merlintally.net.node import EdgeNode, Part
+from merlintally.net.node import EdgeNode, NodeTask
 from merlintally.net.node import main as run_node
 from merlintally.operators import LogPart, Operators, read_operators
 
@@ -25,12 +25,12 @@
 
 
 def set_log(log: Log, part: LogPart) -> None:
-    log.style, log.per_second, log.follows = style_of(part), part.lines_per_s, part.submissions
+    log.style, log.per_second, log.logs_steps = style_of(part), part.lines_per_s, part.submissions
     if hasattr(log, "lines"):  # a recording log follows whether or not lines are wanted
-        log.lines, log.follows = part.submissions, True
+        log.lines, log.logs_steps = part.submissions, True
 
 
-def attach(first: Operators, deployment: Deployment, parts: list[Part]) -> Log:
+def attach(first: Operators, deployment: Deployment, parts: list[NodeTask]) -> Log:
     """The node's record, and its part in its cluster, loaded only where the operators' file has them."""
     from merlintally.cluster.record import Record, RecordingLog, starts_in
 
@@ -94,7 +94,7 @@
         except Faults as wrong:
             log.say(f"{wrong}; the old operators' file stays in force", "operators.faulty")
 
-    parts: list[Part] = []
+    parts: list[NodeTask] = []
 
     def make_log(deployment: Deployment) -> Log:
         if first.cluster.name or first.record.file:
@@ -102,7 +102,7 @@
         else:
             log = Log(deployment.name, first.log.lines_per_s)
         set_log(log, first.log)
-        log.reread = reread
+        log.on_reload = reread
         return log
 
     return run_node(make_log, parts, first.subsets.terms())
--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -27,7 +27,7 @@
 from merlintally.cluster.record import Record
 from merlintally.cluster.work.coordinator import Terms
 from merlintally.cluster.work.state import GRANTED, OUT, RETURNING, most
-from merlintally.net.configuration import Address, address
+from merlintally.net.configuration import Address, parse_address
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.node import EdgeNode
@@ -77,7 +77,9 @@
         self.part, self.name, self.disk, self.log, self.record = part, name, disk, log, record
         self.chance = Random(seed ^ disk.start)
         self.plan = plan_of(part)
-        self.routes = {name: address(where, f"cluster.routes.{name}") for name, where in part.routes.items()}
+        self.routes = {
+            name: parse_address(where, f"cluster.routes.{name}") for name, where in part.routes.items()
+        }
         self.queue = Post(QUEUE)
         self.dispatcher: Dispatcher
         self.links: Links
@@ -125,7 +127,7 @@
         if self.plan.copies is not None and dispatcher.peers is None:
             dispatcher.peers = self
         dispatcher.shown = {entry.facts.server: entry for entry in node.deployment.known}
-        listen = address(self.part.listen, "cluster.listen")
+        listen = parse_address(self.part.listen, "cluster.listen")
         self.links = self.links_type(
             self.part.name,
             self.part.secret,
@@ -192,7 +194,9 @@
         servers = self.core.edge.machines
         turns = self.core.work.turns
         busy = frozenset(
-            server for server, machine in servers.items() if machine.name in turns and fleet.busy(server)
+            server
+            for server, machine in servers.items()
+            if machine.name in turns and fleet.attempts_in_flight(server)
         )
         off = tuple(
             sorted(
--- a/merlintally/lab/builds/base.py
+++ b/merlintally/lab/builds/base.py
@@ -11,7 +11,7 @@
 from merlintally.lab.model.discovery import Entry
 from merlintally.lab.model.servers import Server
 from merlintally.lab.model.settings import settings_of
-from merlintally.net.configuration import flat
+from merlintally.net.configuration import flatten
 
 
 class TrueState(Protocol):
@@ -31,7 +31,7 @@
 
     def facts(self, day: Day, number: int) -> Any:
         """What an edge node of the day is told when it starts."""
-        told = start_facts(flat(settings_of(day, number)))
+        told = start_facts(flatten(settings_of(day, number)))
         lanes = tuple(self._row("LaneFacts", one) for one in told.lanes)
         plans = tuple(self._row("PlanFacts", one) for one in told.plans)
         return self._row("StartFacts", dataclasses.replace(told, lanes=lanes, plans=plans))
--- a/merlintally/lab/scale/driver.py
+++ b/merlintally/lab/scale/driver.py
@@ -17,7 +17,7 @@
 from merlintally.interface import Outcome
 from merlintally.lab.scale.workload import REQUEST_CLASS, Arrivals, Tenant
 from merlintally.net.configuration import Deployment
-from merlintally.net.roster import Roster, Tell, subset_of
+from merlintally.net.roster import OnUpdate, Roster, subset_of
 from merlintally.subsets import Listing
 
 ANSWER_S = 0.05  # mean answer time of an app server
@@ -89,7 +89,7 @@
         answer_s: float = ANSWER_S,
         counter: CounterModel | None = None,
         watch: SendWatch | None = None,
-        connections: Tell | None = None,
+        connections: OnUpdate | None = None,
         began: float = 1000.0,
     ) -> None:
         self.now, self.random = began, Random(seed)
@@ -177,7 +177,7 @@
 
     def _woken(self) -> None:
         self.gateway.wake(self.now)
-        self.roster.fit(self.now)
+        self.roster.resize(self.now)
 
     def _answered(self, request: Request, number: int, outcome: Outcome, elapsed: float) -> None:
         server = request.out.pop(number, None)
--- a/merlintally/lab/scale/hollow.py
+++ b/merlintally/lab/scale/hollow.py
@@ -32,7 +32,7 @@
 from merlintally.cluster.members.core import ALIVE
 from merlintally.cluster.node import ClusterNode
 from merlintally.lab.scale.meter import MeteredLinks, Sent
-from merlintally.net.configuration import Listed
+from merlintally.net.configuration import ListedServer
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.node import EdgeNode
@@ -77,20 +77,20 @@
 class HollowDeployment:
     """What of a node's configuration the cluster part reads: the app servers known at its start."""
 
-    known: tuple[Listed, ...] = ()
+    known: tuple[ListedServer, ...] = ()
 
 
 class HollowEdge:
     """An edge node without clients and app servers."""
 
-    def __init__(self, known: tuple[Listed, ...] = ()) -> None:
+    def __init__(self, known: tuple[ListedServer, ...] = ()) -> None:
         self.deployment, self.phases = HollowDeployment(known), Phases()
 
 
 class HollowFleet:
     """App servers to which nothing is ever out."""
 
-    def busy(self, server: str) -> int:
+    def attempts_in_flight(self, server: str) -> int:
         return 0
 
 
@@ -100,7 +100,7 @@
     def __init__(self) -> None:
         self.right: object = None
         self.peers: object = None
-        self.shown: dict[str, Listed] | None = None
+        self.shown: dict[str, ListedServer] | None = None
         self.fleet, self.open_requests = HollowFleet(), dict[int, object]()
         self.posted = 0
 
@@ -131,7 +131,7 @@
 
     links_type = MeteredLinks
 
-    def __init__(self, spec: HollowSpec, name: str, seed: int, known: tuple[Listed, ...] = ()) -> None:
+    def __init__(self, spec: HollowSpec, name: str, seed: int, known: tuple[ListedServer, ...] = ()) -> None:
         part = spec.part_of(name)
         folder = Path(part.folder)
         if name in part.voters and not (folder / "agreement.log").exists():
--- a/merlintally/lab/scale/hollow_check.py
+++ b/merlintally/lab/scale/hollow_check.py
@@ -35,7 +35,7 @@
     Network,
 )
 from merlintally.lab.scale.meter import METER_FILE, Count, NodeUse, Sent, read_use, total
-from merlintally.net.configuration import address
+from merlintally.net.configuration import parse_address
 
 EXAMPLE = ROOT / "example" / "config.json"
 CLIENT_PORT, NOBODYS_PORT = 7379, 9  # where a node listens to clients; where neither counter nor discovery is
@@ -79,7 +79,7 @@
     def configuration(self) -> dict[str, Any]:
         """The example's, with addresses of this node's own; neither discovery nor counter is there."""
         found: dict[str, Any] = json.loads(EXAMPLE.read_text())
-        host = address(self.spec.address_of(self.name), "listen")[0]
+        host = parse_address(self.spec.address_of(self.name), "listen")[0]
         return found | {
             "name": self.name,
             "listen": f"{host}:{CLIENT_PORT}",
@@ -104,7 +104,7 @@
     def status(self) -> dict[str, Any]:
         """What the node says of itself; nothing where it does not answer."""
         part = self.spec.part_of(self.name)
-        where = address(part.listen, "listen")
+        where = parse_address(part.listen, "listen")
 
         async def ask() -> tuple[bool, str]:
             return await ask_one(where, part.name, part.secret, secrets.token_hex(4), "status", [], ASK_S)
--- a/merlintally/lab/scale/receiver.py
+++ b/merlintally/lab/scale/receiver.py
@@ -8,11 +8,11 @@
 import h11
 
 from merlintally.lab.scale.workload import deployment
-from merlintally.net.configuration import Deployment, page
+from merlintally.net.configuration import Deployment, parse_page
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.servers import Fleet
-from merlintally.net.sockets import Allowance
+from merlintally.net.sockets import ResourceLimit
 from merlintally.net.timers import Clock
 
 HOST = "10.0.0.1:7500"
@@ -27,8 +27,8 @@
 
 def fleet_of(told: Deployment, dispatcher: Dispatcher, clock: Clock, log: Log) -> Fleet:
     """A fleet that opens no connections: it has no task group."""
-    held = Allowance(int(told.memory * told.bounds.held_share))
-    return Fleet(told, dispatcher, clock, log, cast(Any, None), Allowance(most_links(told)), held)
+    held = ResourceLimit(int(told.memory * told.bounds.held_share))
+    return Fleet(told, dispatcher, clock, log, cast(Any, None), ResourceLimit(most_links(told)), held)
 
 
 class Receiver:
@@ -42,7 +42,7 @@
 
     def take(self, body: bytes) -> None:
         """As merlintally.net.discovery takes an answer, and the dispatcher what is in it."""
-        _, complete, entries = page(json.loads(body))
+        _, complete, entries = parse_page(json.loads(body))
         if entries or complete:
             self.dispatcher.listed(entries, complete)
             self.dispatcher.gateway.take_results(self.dispatcher.clock.now())
--- a/merlintally/lab/scale/slopes_connections.py
+++ b/merlintally/lab/scale/slopes_connections.py
@@ -22,7 +22,7 @@
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.servers import Fleet, Link, Server
-from merlintally.net.sockets import Allowance
+from merlintally.net.sockets import ResourceLimit
 from merlintally.net.timers import Clock
 
 SWEEP_S = 0.5  # between sweeps of idle connections, as merlintally.net.node has it
@@ -42,7 +42,7 @@
 class QuietStream:
     """A connection on which nothing comes unasked."""
 
-    def quiet(self) -> bool:
+    def nothing_to_read(self) -> bool:
         return True
 
 
@@ -57,29 +57,29 @@
     def end(self) -> None:
         if not self.dead:
             self.dead = True
-            self.fleet.forget(self)
+            self.fleet.discard(self)
 
 
 class SimulatedFleet(Fleet):
     """The node's fleet, which keeps and retires connections as ever, and opens simulated ones."""
 
     def __init__(self, told: Deployment, clock: Clock, log: Log) -> None:
-        nobody, held = cast(Any, None), Allowance(told.memory)
+        nobody, held = cast(Any, None), ResourceLimit(told.memory)
         super().__init__(
-            told, cast(Dispatcher, nobody), clock, log, nobody, Allowance(most_links(told)), held
+            told, cast(Dispatcher, nobody), clock, log, nobody, ResourceLimit(most_links(told)), held
         )
         self.handshakes = self.without_descriptor = 0
 
     def link_for(self, name: str) -> SimulatedLink | None:
         """The connection for an attempt, as `send` finds it."""
         server = self.servers[name]
-        if (link := self._rested(server)) is not None:
+        if (link := self._take_idle(server)) is not None:
             return cast(SimulatedLink, link)
-        if self.descriptors.full and not self._give_way():
+        if self.descriptors.full and not self._close_longest_idle():
             self.without_descriptor += 1
             return None
         self.handshakes += 1
-        self.descriptors.take()
+        self.descriptors.acquire()
         opened = SimulatedLink(self, server)
         server.links[opened] = None
         return opened
@@ -108,13 +108,13 @@
         self.answered_at[server] = now
         link = self.links.pop((request, number), None)
         if link is not None and not link.dead:
-            self.fleet.rest(link)
+            self.fleet.release(link)
 
     def sweep(self) -> None:
         """Retire idle connections, and count what is held and known."""
         now = self.clock.time = self.node.now
         self.fleet.sweep()
-        self.held.append(self.fleet.descriptors.held)
+        self.held.append(self.fleet.descriptors.used)
         self.known.append(sum(now - at < FAMILIAR for at in self.answered_at.values()))
         self.working.append(len(self.fleet.servers))
         self.node.at(now + SWEEP_S, self.sweep)
@@ -145,7 +145,7 @@
     clock = SimulatedClock()
     fleet = SimulatedFleet(told, clock, Log(told.name, told.bounds.log_lines))
     counter = OtherNodes(tenants, size.edge_nodes, context.seed)
-    node = SimulatedNode(told, context.seed, counter=counter, connections=fleet.roster)
+    node = SimulatedNode(told, context.seed, counter=counter, connections=fleet.update_servers)
     node.watch = watch = ConnectionWatch(node, fleet, clock)
     node.listed(server_list(servers, size.zones), True)
     arrivals, chance = Arrivals(tenants, node.random), Random(context.seed)
--- a/merlintally/lab/scale/slopes_lists.py
+++ b/merlintally/lab/scale/slopes_lists.py
@@ -1,6 +1,6 @@
 """Slopes of the lists of app servers that discovery sends to an edge node.
 
-The JSON is read by merlintally.net.configuration.page and taken by the real dispatcher, fleet and decisions;
+The JSON is read by net.configuration.parse_page and taken by the real dispatcher, fleet and decisions;
 bytes are those of the HTTP messages, made by the HTTP library that the node uses, without TCP's own.
 """
 
--- a/merlintally/lab/scale/workload.py
+++ b/merlintally/lab/scale/workload.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from merlintally.net.configuration import Deployment, Listed, deployment_of, listed
+from merlintally.net.configuration import Deployment, ListedServer, parse_deployment, parse_server
 
 SKEW = 0.9  # exponent of the Zipf law by which requests fall to tenants: most are seldom seen
 QUOTA_SHARE = 1.5  # a tenant's quota, at the least, in times of its mean use
@@ -125,7 +125,7 @@
 ) -> Deployment:
     """The checked configuration of one edge node among `nodes`, as a real one reads it; with `whole_lists` it
     works with all app servers in place of a subset."""
-    told = deployment_of(
+    told = parse_deployment(
         {
             "name": "n0",
             "listen": "127.0.0.1:7379",
@@ -168,6 +168,6 @@
     return page_bytes([entry(one, zones) for one in range(servers)], True)
 
 
-def server_list(servers: int, zones: int) -> list[Listed]:
+def server_list(servers: int, zones: int) -> list[ListedServer]:
     """The app servers as a node reads them in the list."""
-    return [listed(entry(one, zones)) for one in range(servers)]
+    return [parse_server(entry(one, zones)) for one in range(servers)]
--- a/merlintally/net/backoff.py
+++ b/merlintally/net/backoff.py
@@ -21,16 +21,16 @@
         self.refusal_min_s, self.refusal_max_s = refusal_min_s, refusal_max_s
         self.failures, self.pause_s = 0, 0.0
 
-    def failed(self) -> float:
+    def delay_after_failure(self) -> float:
         """The delay after a failure."""
         self.failures += 1
         return self.rng.uniform(self.min_s, max(self.min_s, min(self.max_s, self.min_s * 2.0**self.failures)))
 
-    def refused(self) -> float:
+    def delay_after_refusal(self) -> float:
         """The delay after a refusal by an overloaded service."""
         self.pause_s = min(self.refusal_max_s, max(self.refusal_min_s, 2 * self.pause_s))
         return self.pause_s * self.rng.uniform(0.5, 1.5)
 
-    def worked(self) -> None:
+    def record_answer(self) -> None:
         """Records an answer: resets the failures and shortens the delay after the next refusal."""
         self.failures, self.pause_s = 0, self.pause_s * 0.6 if self.pause_s > self.refusal_min_s / 4 else 0.0
--- a/merlintally/net/client_stream.py
+++ b/merlintally/net/client_stream.py
@@ -7,7 +7,7 @@
 
 from merlintally.net.arrivals import Arrivals
 from merlintally.net.polling import ReadyTimes
-from merlintally.net.sockets import Allowance, Stream, passes
+from merlintally.net.sockets import ResourceLimit, Stream, is_transient
 from merlintally.net.timers import Clock
 
 FRESH_S = 0.01  # since bytes can have come, up to which their client's end is not looked for at once
@@ -18,7 +18,12 @@
     which nothing can have come: one at which the connection was not yet there."""
 
     def __init__(
-        self, sock: socket.socket, held: Allowance, clock: Clock, ready_times: ReadyTimes, came_after: float
+        self,
+        sock: socket.socket,
+        held: ResourceLimit,
+        clock: Clock,
+        ready_times: ReadyTimes,
+        came_after: float,
     ) -> None:
         super().__init__(sock, held)
         self._clock, self._ready_times = clock, ready_times
@@ -44,14 +49,14 @@
     def _read_what_is_left(self) -> int | None:
         """How many bytes more were read without a wait; None when the connection's end was found."""
         total = 0
-        while not self.overfull and self._has_room():
+        while not self.is_full and self._has_room():
             try:
                 count = self.sock.recv_into(memoryview(self.buffer)[self.end :])
             except (BlockingIOError, InterruptedError):
                 self._arrivals.seen_empty(self._clock.now())
                 break
             except OSError as wrong:
-                if passes(wrong):
+                if is_transient(wrong):
                     break
                 self.was_reset = True
                 return None
@@ -64,7 +69,7 @@
 
     def _has_room(self) -> bool:
         self._make_room()
-        if self.end == len(self.buffer) and self.held.full:
+        if self.end == len(self.buffer) and self.memory.full:
             return False
         self._grow()
         return True
--- a/merlintally/net/clients.py
+++ b/merlintally/net/clients.py
@@ -24,7 +24,7 @@
 from merlintally.net.post import Owner
 from merlintally.net.requests import COMMANDS, PendingAnswer, Request
 from merlintally.net.resp import Span, array_at
-from merlintally.net.sockets import RETRY_S, Allowance, Buffer, prepared
+from merlintally.net.sockets import RETRY_S, Buffer, ResourceLimit, configure_tcp
 from merlintally.net.timers import Clock
 
 AT_ONCE, LINGERING = 16, 8  # connections accepted, and reads of one that is to be closed, in a row
@@ -95,7 +95,9 @@
         """Whether nothing is owed. Guards against a request that has come whole and is not read yet when
         its connection is closed: it counts as taken, and would be lost."""
         stream = self.stream
-        return not self.pending and not stream.unsent and stream.start == stream.end and stream.quiet()
+        return (
+            not self.pending and not stream.unsent and stream.start == stream.end and stream.nothing_to_read()
+        )
 
     def has_left(self) -> bool:
         """Whether its client has ended the connection, also where that has not been read yet."""
@@ -106,7 +108,7 @@
     def is_unseen(self) -> bool:
         """Whether its client's end could stand behind bytes that there is no room to read."""
         stream = self.stream
-        return stream.overfull or (stream.end == len(stream.buffer) and self.clients.held.full)
+        return stream.is_full or (stream.end == len(stream.buffer) and self.clients.held.full)
 
     async def run(self) -> None:
         """Guards against a fault in handling one connection: it ends that one, and no other, and not before
@@ -144,7 +146,7 @@
                 self._begins()
             await self._read_commands()
             if self.clients.held.full:
-                await self._watching(self.clients.held.room)
+                await self._watching(self.clients.held.available)
         await self._linger()
 
     def _close_for(self, reason: CloseReason) -> None:
@@ -167,7 +169,7 @@
                     continue
                 found = array_at(stream.buffer, stream.start, stream.end)
                 if found is None:
-                    if stream.overfull:
+                    if stream.is_full:
                         raise Malformed("a command is beyond what is allowed")
                     return
                 spans, stop = found
@@ -208,7 +210,7 @@
                     self.pass_on()
                     return
                 self.pending.append(request)
-                clients.held.take(request.size)
+                clients.held.acquire(request.size)
                 await clients.dispatcher.post(clients.dispatcher.take, request)
             return
         self.pending.append(PendingAnswer([self._aside(name)]))
@@ -251,7 +253,7 @@
             group.cancel_scope.cancel()
 
     async def _read_on(self, waiting: anyio.CancelScope) -> None:
-        while not self.stream.overfull:
+        while not self.stream.is_full:
             if not (got := await self.stream.receive()):
                 self.ended = True
                 self._close_for(CloseReason.CLIENT)
@@ -291,7 +293,7 @@
             pending = self.pending.popleft()
             ready.extend(pending.answer or ())
             if isinstance(pending, Request):
-                self.clients.held.give(pending.size)
+                self.clients.held.release(pending.size)
         if self.closing and not self.pending:
             ready.extend(self._refusals())
         if ready and not self.ended:
@@ -325,8 +327,8 @@
     def _hold_unread(self) -> None:
         """Guards against memory taken by answers that nobody reads: they count as held until written."""
         before, self.unread = self.unread, sum(len(part) for part in self.stream.unsent)
-        self.clients.held.take(self.unread)
-        self.clients.held.give(before)
+        self.clients.held.acquire(self.unread)
+        self.clients.held.release(before)
 
     async def _until_passed(self) -> None:
         """Wait until answers were passed on, or the connection ended."""
@@ -346,7 +348,7 @@
         """End it at once, whatever it is owed."""
         self._close_for(reason)
         self.ended = True
-        self.stream.hang_up()
+        self.stream.shut_down()
         self._passed.set()
 
     def retire(self, reason: CloseReason) -> None:
@@ -367,13 +369,13 @@
         self._hold_unread()
         clients = self.clients
         clients.connections.pop(self, None)
-        clients.descriptors.give()
+        clients.descriptors.release()
         owed, self.pending = [pending for pending in self.pending if isinstance(pending, Request)], deque()
         clients.note_end(self, owed)
         for request in owed:
             request.gone = True  # guards against sends for it while the word of it waits in a long queue
             request.gone_at = clients.clock.now()
-            clients.held.give(request.size)
+            clients.held.release(request.size)
         for request in owed:
             if request.answer is None:
                 await clients.dispatcher.post(clients.dispatcher.left, request)
@@ -391,8 +393,8 @@
         clock: Clock,
         log: Log,
         group: TaskGroup,
-        descriptors: Allowance,
-        held: Allowance,
+        descriptors: ResourceLimit,
+        held: ResourceLimit,
         listening_since: float | None = None,
     ) -> None:
         """`listening_since`: Unix seconds from which on connections may wait; the present if None."""
@@ -407,7 +409,7 @@
         self.failing_since = float("inf")  # when accepting began to fail, if it does
         self.refused_unopened = 0  # commands answered as busy since their connections were about to end
         self.ready_times = ready_times()
-        self.limits = AdmissionLimits.of(descriptors.most, self.bounds.client_reserve_share)
+        self.limits = AdmissionLimits.of(descriptors.limit, self.bounds.client_reserve_share)
         self.eviction: Eviction[Client] = Eviction(self.bounds.client_rest_s, self.bounds.client_silent_s)
         # When the listener's backlog was last seen empty: what waits in it came later.
         self.backlog_empty_at = clock.now() if listening_since is None else listening_since
@@ -416,17 +418,17 @@
         """Take connections as they come. Guards against requests that wait in the backlog while their time
         passes: where descriptors run short, idle connections are closed for new ones, many at once."""
         while True:
-            if self.descriptors.held >= self.limits.stay:
+            if self.descriptors.used >= self.limits.stay:
                 self.give_way(MADE_ROOM)
             if self.descriptors.full and not self.give_way(MADE_ROOM, urgent=True):
                 self.log.say(
                     "no descriptors are left for clients, and none of them is idle", "clients.descriptors"
                 )
                 with anyio.move_on_after(self.bounds.again_s):  # one may fall idle meanwhile
-                    await self.descriptors.room()
+                    await self.descriptors.available()
                 continue
             if self.descriptors.full:
-                await self.descriptors.room()  # those just ended are closed by their own tasks
+                await self.descriptors.available()  # those just ended are closed by their own tasks
             await anyio.wait_readable(self.listener)
             ready_since = self.ready_times.since(self.listener.fileno()) + self.clock.offset
             self.backlog_empty_at = max(self.backlog_empty_at, ready_since)
@@ -454,7 +456,7 @@
         which the rest still waits: a shortage, or failures in a row."""
         failures = 0
         for _ in range(most):
-            admission = self.limits.admit(self.descriptors.held)
+            admission = self.limits.admit(self.descriptors.used)
             if admission is Admission.WAITS and not beyond:
                 break
             try:
@@ -468,8 +470,8 @@
                     return wrong
                 continue  # the client went away before it was accepted
             failures = 0
-            self.descriptors.take()
-            client = Client(self, prepared(sock), self.backlog_empty_at, admission)
+            self.descriptors.acquire()
+            client = Client(self, configure_tcp(sock), self.backlog_empty_at, admission)
             self.connections[client] = None
             self.group.start_soon(client.run)
         return None
@@ -481,7 +483,7 @@
             if closed == most:
                 break
             # Else what makes a command whole may have come, or the answer just written would go with a reset.
-            if client.stream.quiet():
+            if client.stream.nothing_to_read():
                 if not client.known:
                     self.closures.add(CloseReason.NO_DESCRIPTOR, client.address)
                 client.end(CloseReason.NO_DESCRIPTOR)
@@ -499,7 +501,7 @@
                 if still > bounds.client_stall_s:
                     client.end(CloseReason.STALLED)
             elif not client.pending and begun and now > client.whole_by:
-                if stream.quiet():  # else what makes it whole may have come
+                if stream.nothing_to_read():  # else what makes it whole may have come
                     self.closures.add(CloseReason.NO_REQUEST, client.address)
                     client.end(CloseReason.NO_REQUEST)
             elif still > bounds.client_idle_s and client.rests:
@@ -539,5 +541,5 @@
         first = lost[0].id if lost else b""
         kept = reason in BY_CLIENT or not lost
         self.invariants.check(kept, Invariant.NO_ANSWER_OWED, first, owed=len(lost), reason=reason.name)
-        if self.log.follows:
+        if self.log.logs_steps:
             self.log.say("", "connection.closed", reason=reason.name, owed=len(owed))
--- a/merlintally/net/configuration.py
+++ b/merlintally/net/configuration.py
@@ -18,11 +18,11 @@
 PRESENCES: dict[str, Presence] = {"SERVING": "on", "DRAINING": "draining", "DELETED": "gone"}
 
 
-class Faulty(Exception):
+class ConfigurationError(Exception):
     """The configuration is invalid. The message is a single line that names the key."""
 
 
-class Unreadable(Faulty):
+class UnreadableConfiguration(ConfigurationError):
     """The file can't be read or is not JSON, which may pass: it may still be being written, or the system
     short of a resource."""
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedServer:
     """An app server as discovery lists it: its facts for the decisions, and its address if it has one."""
 
     facts: ServerFacts
@@ -93,7 +93,7 @@
     seed: int
     sockets: int
     memory: int  # bytes
-    known: tuple[Listed, ...]
+    known: tuple[ListedServer, ...]
     known_index: int | None  # the version of the list `known`
     facts: StartFacts
     reported: dict[str, str]  # load report fields in use -> their names in the decisions
@@ -115,7 +115,7 @@
         return self.sockets - self.bounds.kept_back - self.client_descriptors
 
 
-FIXED = {  # fields of `Deployment` that change only with a restart -> their keys
+RESTART_KEYS = {  # fields of `Deployment` that change only with a restart -> their keys
     "name": "name",
     "listen": "listen",
     "peer_listen": "peer_listen",
@@ -137,15 +137,17 @@
 def fixed_changes(before: Deployment, after: Deployment) -> list[str]:
     """The keys that differ and take a restart to change; adding or removing a counter does, too."""
     keys = [
-        key for attribute, key in FIXED.items() if getattr(before, attribute) != getattr(after, attribute)
+        key
+        for attribute, key in RESTART_KEYS.items()
+        if getattr(before, attribute) != getattr(after, attribute)
     ]
     return keys + ["counter"] * ((before.counter is None) != (after.counter is None))
 
 
-def address(value: object, key: str) -> Address:
-    """Parses an IPv4 address with a port; raises `Faulty` naming `key`.
+def parse_address(value: object, key: str) -> Address:
+    """Parses an IPv4 address with a port; raises `ConfigurationError` naming `key`.
 
-    >>> address("10.0.0.4:6379", "listen")
+    >>> parse_address("10.0.0.4:6379", "listen")
     ('10.0.0.4', 6379)
     """
     host, _, port = value.partition(":") if isinstance(value, str) else ("", "", "")
@@ -154,21 +156,21 @@
             return str(IPv4Address(host)), int(port)
     except ValueError:  # also for host names, since a lookup could block the node
         pass
-    raise Faulty(f"{key}: {value!r} is not an IPv4 address with a port")
+    raise ConfigurationError(f"{key}: {value!r} is not an IPv4 address with a port")
 
 
-def flat(value: object, path: str = "") -> Fields:
+def flatten(value: object, path: str = "") -> Fields:
     """Flattens nested JSON to dotted paths and values as text; each list gets an entry with its length.
 
-    >>> flat({"a": [{"b": 1.5}], "c": True})
+    >>> flatten({"a": [{"b": 1.5}], "c": True})
     {'a.count': '1', 'a.0.b': '1.5', 'c': 'true'}
     """
     if isinstance(value, dict):
-        return {k: v for name, item in value.items() for k, v in flat(item, f"{path}{name}.").items()}
+        return {k: v for name, item in value.items() for k, v in flatten(item, f"{path}{name}.").items()}
     if isinstance(value, list):
         entries = {f"{path}count": str(len(value))}
         return entries | {
-            k: v for index, item in enumerate(value) for k, v in flat(item, f"{path}{index}.").items()
+            k: v for index, item in enumerate(value) for k, v in flatten(item, f"{path}{index}.").items()
         }
     key = path[:-1]
     if isinstance(value, bool):
@@ -176,11 +178,11 @@
     return {} if value is None else {key: str(value)}
 
 
-def listed(entry: object) -> Listed:
+def parse_server(entry: object) -> ListedServer:
     """Parses one app server from discovery's list or from `known`; raises `Malformed`."""
     if not isinstance(entry, Mapping):
         raise Malformed(f"an app server is not an object: {entry!r:.60}")
-    values = flat(dict(entry))
+    values = flatten(dict(entry))
     status = known(PRESENCES, text(values, "status"), "status")
     facts = ServerFacts(
         server=text(values, "name"),
@@ -193,14 +195,14 @@
     )
     try:
         server_address = (
-            address(entry.get("address"), "address") if "address" in entry or status != "gone" else None
+            parse_address(entry.get("address"), "address") if "address" in entry or status != "gone" else None
         )
-    except Faulty as error:
+    except ConfigurationError as error:
         raise Malformed(f"app server {facts.server}: {error}") from None
-    return Listed(facts, server_address)
+    return ListedServer(facts, server_address)
 
 
-def page(document: object) -> tuple[int, bool, list[Listed]]:
+def parse_page(document: object) -> tuple[int, bool, list[ListedServer]]:
     """Parses an answer of discovery: the version, whether it is the whole list, and the entries. Raises
     `Malformed`."""
     if not isinstance(document, Mapping) or not isinstance(document.get("endpoints"), list):
@@ -208,108 +210,110 @@
     index = document.get("index")
     if not isinstance(index, int):
         raise Malformed(f"field 'index' is not a whole number: {index!r}")
-    return index, document.get("snapshot") is True, [listed(entry) for entry in document["endpoints"]]
+    return index, document.get("snapshot") is True, [parse_server(entry) for entry in document["endpoints"]]
 
 
 def parse_bounds(document: object) -> Bounds:
-    """Parses the object `node`; raises `Faulty`."""
+    """Parses the object `node`; raises `ConfigurationError`."""
     if not isinstance(document, Mapping):
-        raise Faulty("node: is not an object")
+        raise ConfigurationError("node: is not an object")
     defaults = {bound.name: bound.default for bound in fields(Bounds)}
     for name, value in document.items():
         if name not in defaults:
-            raise Faulty(f"node.{name}: there is no such key")
+            raise ConfigurationError(f"node.{name}: there is no such key")
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e12:
-            raise Faulty(f"node.{name}: {value!r} is not a number above 0")
+            raise ConfigurationError(f"node.{name}: {value!r} is not a number above 0")
         if isinstance(defaults[name], int) and not isinstance(value, int):
-            raise Faulty(f"node.{name}: {value!r} is not a whole number")
+            raise ConfigurationError(f"node.{name}: {value!r} is not a whole number")
         if name.endswith("_share") and value >= 1:
-            raise Faulty(f"node.{name}: {value!r} is not a share below 1")
+            raise ConfigurationError(f"node.{name}: {value!r} is not a share below 1")
     return Bounds(**document)
 
 
 def validate_facts(facts: StartFacts) -> None:
-    """Validates what the decisions require; raises `Faulty` naming the key."""
+    """Validates what the decisions require; raises `ConfigurationError` naming the key."""
     if not facts.lanes:
-        raise Faulty("settings.classes: is missing or empty")
+        raise ConfigurationError("settings.classes: is missing or empty")
     if not facts.plans:
-        raise Faulty("settings.tariffs: is missing or empty")
+        raise ConfigurationError("settings.tariffs: is missing or empty")
     for index, lane in enumerate(facts.lanes):
         if min(lane.quoted_time, lane.hard_limit) <= 0:
-            raise Faulty(f"settings.classes.{index}: aimS and deadlineS must be above 0")
+            raise ConfigurationError(f"settings.classes.{index}: aimS and deadlineS must be above 0")
     for index, plan in enumerate(facts.plans):
         if min(plan.rate, plan.burst, plan.open_limit, plan.ceiling_rate, plan.ceiling_burst) < 0:
-            raise Faulty(f"settings.tariffs.{index}: a quota is below 0")
+            raise ConfigurationError(f"settings.tariffs.{index}: a quota is below 0")
     for key, value, minimum in (
         ("balancers", facts.gateways, 1),
         ("slotNo", facts.number, 0),
         ("limits.maxAttempts", facts.most_executions, 1),
     ):
         if value < minimum:
-            raise Faulty(f"settings.{key}: {value!r} is below {minimum}")
+            raise ConfigurationError(f"settings.{key}: {value!r} is below {minimum}")
     if min(facts.warm_within, facts.tip_window, facts.tip_multiple) <= 0:
-        raise Faulty("settings.rules: warmWithinS, fallS and tipMultiple must be above 0")
+        raise ConfigurationError("settings.rules: warmWithinS, fallS and tipMultiple must be above 0")
 
 
-def deployment_of(document: object, environment: Mapping[str, str]) -> Deployment:
-    """Validates a configuration as parsed from JSON; raises `Faulty`.
+def parse_deployment(document: object, environment: Mapping[str, str]) -> Deployment:
+    """Validates a configuration as parsed from JSON; raises `ConfigurationError`.
 
     Environment variables are used for the keys that it lacks.
     """
     if not isinstance(document, Mapping):
-        raise Faulty("the configuration is not a JSON object")
+        raise ConfigurationError("the configuration is not a JSON object")
 
     def value(key: str, variable: str = "") -> Any:
         setting = document.get(key, environment.get(variable))
         if setting is None:
-            raise Faulty(f"{key}: is missing")
+            raise ConfigurationError(f"{key}: is missing")
         return setting
 
     def optional(key: str) -> Address | None:
-        return address(document[key], key) if document.get(key) is not None else None
+        return parse_address(document[key], key) if document.get(key) is not None else None
 
     if not isinstance(value("settings"), Mapping):
-        raise Faulty("settings: is not an object")
-    flat_settings = flat(document["settings"])
+        raise ConfigurationError("settings: is not an object")
+    flat_settings = flatten(document["settings"])
     try:
         facts, names = start_facts(flat_settings), reported_names(flat_settings)
         most_open = whole(flat_settings, "limits.maxOpen", 20000)
         connect_time_out = number(flat_settings, "limits.connectTimeoutS", 0.25)
         idle_close = number(flat_settings, "limits.idleCloseS", 15.0)
     except Malformed as error:
-        raise Faulty(f"settings: {error}") from None
+        raise ConfigurationError(f"settings: {error}") from None
     validate_facts(facts)
     try:
         version, _, servers = (
-            page(document["known"]) if document.get("known") is not None else (None, True, [])
+            parse_page(document["known"]) if document.get("known") is not None else (None, True, [])
         )
     except Malformed as error:
-        raise Faulty(f"known: {error}") from None
+        raise ConfigurationError(f"known: {error}") from None
     seed, peers, limits = value("seed"), document.get("peers", []), document.get("limits", {})
     try:
         seed = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
-        raise Faulty(f"seed: {seed!r} is not a number in hex digits") from None
+        raise ConfigurationError(f"seed: {seed!r} is not a number in hex digits") from None
     if not isinstance(peers, list):
-        raise Faulty("peers: is not a list")
+        raise ConfigurationError("peers: is not a list")
     if not isinstance(limits, Mapping):
-        raise Faulty("limits: is not an object")
+        raise ConfigurationError("limits: is not an object")
     sockets, memory = limits.get("sockets", 1024), limits.get("memory_mb", 128)
     bounds = parse_bounds(document.get("node", {}))
     if not isinstance(sockets, int) or sockets < 2 * bounds.kept_back:
-        raise Faulty(f"limits.sockets: {sockets!r} is not a whole number of {2 * bounds.kept_back} or more")
+        raise ConfigurationError(
+            f"limits.sockets: {sockets!r} is not a whole number of {2 * bounds.kept_back} or more"
+        )
     if isinstance(memory, bool) or not isinstance(memory, int | float) or not 8 <= memory < 1e9:
-        raise Faulty(f"limits.memory_mb: {memory!r} is not a number of 8 or more")
+        raise ConfigurationError(f"limits.memory_mb: {memory!r} is not a number of 8 or more")
     if facts.may_count and document.get("counter") is None:
-        raise Faulty("counter: is missing, but settings.familyInfo.mayCount requires it")
+        raise ConfigurationError("counter: is missing, but settings.familyInfo.mayCount requires it")
     deployment = Deployment(
         name=str(value("name", "LB_NAME")),
-        listen=address(value("listen", "LB_LISTEN"), "listen"),
-        discovery=address(value("discovery", "LB_DISCOVERY"), "discovery"),
+        listen=parse_address(value("listen", "LB_LISTEN"), "listen"),
+        discovery=parse_address(value("discovery", "LB_DISCOVERY"), "discovery"),
         counter=optional("counter"),
         peer_listen=optional("peer_listen"),
         peers_all=optional("peers_all"),
-        peers=tuple(address(item, f"peers.{index}") for index, item in enumerate(peers)),
+        peers=tuple(parse_address(item, f"peers.{index}") for index, item in enumerate(peers)),
         seed=seed,
         sockets=sockets,
         memory=int(memory * (1 << 20)),
@@ -324,7 +328,7 @@
         bounds=bounds,
     )
     if min(deployment.client_descriptors, deployment.server_descriptors) < MIN_DESCRIPTORS:
-        raise Faulty(
+        raise ConfigurationError(
             f"limits.sockets: {sockets!r} leaves {deployment.client_descriptors} for clients and "
             f"{deployment.server_descriptors} for app servers; each needs at least {MIN_DESCRIPTORS}"
         )
@@ -332,15 +336,15 @@
 
 
 def read_deployment(environment: Mapping[str, str]) -> Deployment:
-    """Reads the file named by LB_CONFIG; raises `Faulty`."""
+    """Reads the file named by LB_CONFIG; raises `ConfigurationError`."""
     path = environment.get("LB_CONFIG")
     if not path:
-        raise Faulty("LB_CONFIG: the variable is not set")
+        raise ConfigurationError("LB_CONFIG: the variable is not set")
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
     except OSError as error:
-        raise Unreadable(f"LB_CONFIG: {path} can't be read: {error.strerror}") from error
+        raise UnreadableConfiguration(f"LB_CONFIG: {path} can't be read: {error.strerror}") from error
     except ValueError as error:
-        raise Unreadable(f"LB_CONFIG: {path} is not JSON: {error}") from error
-    return deployment_of(document, environment)
+        raise UnreadableConfiguration(f"LB_CONFIG: {path} is not JSON: {error}") from error
+    return parse_deployment(document, environment)
--- a/merlintally/net/counter.py
+++ b/merlintally/net/counter.py
@@ -81,12 +81,12 @@
         line = b"tally %d %b %d\r\n" % (name, f"{amount:.6f}".encode(), max(1, int(keep_s * 1000)))
         call = Call(name, line, self.clock.now())
         self.unsent.append(call)
-        self.timers.at(call.began + self.timeout_s, self.expired, call)
+        self.timers.call_at(call.began + self.timeout_s, self.expired, call)
         self._write()
         self._call_added.set()
         return True
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Makes further calls at another address.
 
         Calls already written get their answers from the old one, or end as calls that may have been counted:
@@ -102,7 +102,7 @@
             self.current = None
         connection.retired.set()
         if not connection.unanswered:
-            connection.stream.hang_up()
+            connection.stream.shut_down()
 
     def expired(self, call: Call) -> None:
         """Ends a call whose time is over, and connections that have not answered for `counter_silence_s`.
@@ -122,7 +122,7 @@
             )
             if self.clock.now() - waiting_since > self.bounds.counter_silence_s:
                 self.log.say("the counter does not answer; its connection is closed", "counter.silent")
-                connection.stream.hang_up()
+                connection.stream.shut_down()
 
     def _finish(self, call: Call, outcome: CounterOutcome, total: float = 0.0) -> None:
         call.ended = True
@@ -137,7 +137,7 @@
                 call.written = connection.stream.write([call.line])
             if not call.written:
                 self._retire(connection)
-                connection.stream.hang_up()
+                connection.stream.shut_down()
 
     async def run(self) -> None:
         """Connects whenever there are calls to make, and serves the connection until it is given up."""
--- a/merlintally/net/discovery.py
+++ b/merlintally/net/discovery.py
@@ -10,13 +10,13 @@
 
 from merlintally.fields import Malformed
 from merlintally.net.backoff import Backoff
-from merlintally.net.configuration import Address, Bounds, page
+from merlintally.net.configuration import Address, Bounds, parse_page
 from merlintally.net.log import Log
 from merlintally.net.post import Owner
 from merlintally.net.sockets import Stream, connect, tcp_socket
 
 MAX_BODY_BYTES = 8 << 20
-TOLD_S = 6.0  # after a change the node is held to it, whether it has received it or not
+CHANGE_NOTICE_S = 6.0  # after a change the node is held to it, whether it has received it or not
 NO_WAIT_S = 0.001  # the wait of a call that only fetches the changes made so far
 
 
@@ -29,7 +29,7 @@
     """Keeps the list of app servers up to date. Any error ends the connection; the next one continues from
     the version that the node has.
 
-    The node must learn of a change within TOLD_S. Hence each call begins at most that time less
+    The node must learn of a change within CHANGE_NOTICE_S. Hence each call begins at most that time less
     `asked_before_s` after the start of the previous one, and is to be answered in the remaining time. The
     wait of a watch and the timeout for its answer each get half of what that leaves, and so do a call that
     gets no answer and the pause after it.
@@ -59,7 +59,7 @@
         self._scope = anyio.CancelScope()
         self._notice_deadline = float("inf")  # when changes made since the last call count as known
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Continues at another address with the whole list, since its versions may differ."""
         if address != self.address:
             self.address, self.version, self.answered = address, None, False
@@ -76,7 +76,7 @@
                     answered = self.answered  # the connection ended after an answer, without a failure
             except Overloaded as failure:
                 self._log_failure(str(failure))
-                wait = self.backoff.refused()
+                wait = self.backoff.delay_after_refusal()
             except Malformed as failure:
                 self.version, error = None, str(failure)
             except TimeoutError:
@@ -88,7 +88,7 @@
             self.first_call_done.set()
             if error:
                 self._log_failure(error)
-                wait = self.backoff.failed()
+                wait = self.backoff.delay_after_failure()
             self.answered = answered
             with anyio.CancelScope() as self._scope:
                 await self._pause(wait)
@@ -105,7 +105,7 @@
 
     async def _follow(self) -> None:
         stream = Stream(tcp_socket())
-        address, self._notice_deadline = self.address, anyio.current_time() + TOLD_S
+        address, self._notice_deadline = self.address, anyio.current_time() + CHANGE_NOTICE_S
         try:
             with anyio.fail_after(self._answer_timeout(0.0)):
                 await connect(stream.sock, address)
@@ -115,10 +115,10 @@
                 if self.version is not None:
                     # After a call without an answer, changes are asked for at once: a watch in its place
                     # might get no answer either, and missed changes would come too late.
-                    max_wait_s = (TOLD_S - 2 * self.bounds.asked_before_s) / 2
+                    max_wait_s = (CHANGE_NOTICE_S - 2 * self.bounds.asked_before_s) / 2
                     wait = min(self.bounds.watch_s, max_wait_s) if self.answered else NO_WAIT_S
                     target += f"?since={self.version}&timeout_ms={max(1, int(wait * 1000))}"
-                self._notice_deadline = anyio.current_time() + TOLD_S
+                self._notice_deadline = anyio.current_time() + CHANGE_NOTICE_S
                 with anyio.fail_after(wait + self._answer_timeout(wait)):
                     body = await self._get(stream, connection, target)
                 if address != self.address:  # moved meanwhile: the answer's version is that of another list
@@ -128,7 +128,7 @@
                 self.first_call_done.set()
                 # After an answer the next call follows at once, whatever the pause after the last refusal:
                 # the node has to learn of changes in time.
-                self.backoff.worked()
+                self.backoff.record_answer()
                 if connection.our_state is h11.MUST_CLOSE or connection.their_state is not h11.DONE:
                     return
                 connection.start_next_cycle()
@@ -138,7 +138,7 @@
     def _answer_timeout(self, wait: float) -> float:
         """The timeout in seconds for an answer, beyond its wait. It leaves time for one more call, and its
         answer, before the node must know of a change that it missed."""
-        return min(self.bounds.answer_s, TOLD_S - 2 * self.bounds.asked_before_s - wait)
+        return min(self.bounds.answer_s, CHANGE_NOTICE_S - 2 * self.bounds.asked_before_s - wait)
 
     async def _get(self, stream: Stream, connection: h11.Connection, target: str) -> bytes:
         host = f"{self.address[0]}:{self.address[1]}"
@@ -173,14 +173,14 @@
 
     async def _apply(self, body: bytes) -> None:
         try:
-            index, complete, entries = page(json.loads(body))
+            index, complete, entries = parse_page(json.loads(body))
         except ValueError:
             raise Malformed("an answer is not JSON") from None
         if not complete and self.version is None:
             raise Malformed("the whole list was requested, and the answer has changes only")
         if self.version is not None and index < self.version:  # would undo changes, such as a drain
             raise Malformed(f"an answer is of version {index}, older than the current version {self.version}")
-        # Set before the wait for the queue, during which `move` may reset the version.
+        # Set before the wait for the queue, during which `set_address` may reset the version.
         self.version, self.failing = index, False
         if entries or complete:
             await self.dispatcher.post(self.dispatcher.listed, entries, complete)
--- a/merlintally/net/dispatcher.py
+++ b/merlintally/net/dispatcher.py
@@ -11,7 +11,7 @@
 
 from merlintally.choice import Gateway
 from merlintally.interface import CounterOutcome, Refusal
-from merlintally.net.configuration import Deployment, Listed
+from merlintally.net.configuration import Deployment, ListedServer
 from merlintally.net.counter import Counter
 from merlintally.net.invariants import LATE_S, Invariant, Invariants
 from merlintally.net.log import Log
@@ -63,7 +63,7 @@
         self.last_number, self.leaving = 0, False
         self.right: Right | None = None  # to take and to send, where nodes settle it among themselves
         self.out: frozenset[str] = frozenset()  # app servers that are taken out for work
-        self.shown: dict[str, Listed] | None = None  # as listed, where app servers may be taken out
+        self.shown: dict[str, ListedServer] | None = None  # as listed, where app servers may be taken out
         self.soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()  # the dispatcher's own calls
         self._queue = Post(deployment.bounds.queue)
         self.post = self._queue.post
@@ -85,7 +85,7 @@
             now = self.clock.now()
             results = self.gateway.take_results(now)
             if results.wake_after is not None:
-                self.timers.at(now + results.wake_after, self.woken)
+                self.timers.call_at(now + results.wake_after, self.woken)
             for line in results.logs:
                 self.log.say(line, "decisions")
             for number, server, time_out in results.sends:
@@ -137,7 +137,7 @@
         finally:
             if request.handle is None:
                 self._answer(request.number, GIVEN_UP)
-        if self.log.follows:
+        if self.log.logs_steps:
             left_s = request.deadline - now
             self._step(request, "submission.taken", plan=request.plan, units=request.units, left_s=left_s)
 
@@ -156,7 +156,7 @@
             return
         attempt.over = True
         request, now = attempt.request, self.clock.now()
-        if self.log.follows:
+        if self.log.logs_steps:
             self._step(
                 request,
                 "execution.ended",
@@ -188,10 +188,10 @@
     def expired(self, attempt: Attempt) -> None:
         """The node stops waiting for an attempt; an answer that is already in the queue still counts."""
         if not attempt.over and not attempt.answered:
-            self.fleet.call_off(attempt)
+            self.fleet.cancel(attempt)
             self.ended(attempt, Answer("timed_out" if attempt.written else "unreachable"))
 
-    def listed(self, entries: list[Listed], complete: bool) -> None:
+    def listed(self, entries: list[ListedServer], complete: bool) -> None:
         self.look_at_wall()  # before starts are read: they may come from a clock that was stepped just now
         entries = self.start_times.listed(self.clock.now(), entries, complete)
         if self.shown is not None:
@@ -207,7 +207,7 @@
 
     def look_at_wall(self) -> None:
         """Follow the wall clock, by which all nodes name the counts of an epoch alike."""
-        if step := self.clock.look_at_wall():
+        if step := self.clock.wall_clock_step():
             self.log.say(f"the wall clock was stepped by {step:.3f} s", "clock.stepped", step_s=step)
             self.gateway.follow_wall(self.clock.wall.shift)
 
@@ -221,7 +221,7 @@
     def _tell_roster(self, entries: Sequence[Listing], complete: bool) -> None:
         """Tell of a list, or its changes, that concern this node's subset."""
         self._log_subset()
-        self.fleet.roster(entries, complete)
+        self.fleet.update_servers(entries, complete)
         self.gateway.roster(self.clock.now(), [entry.facts for entry in entries], complete)
 
     def _log_subset(self) -> None:
@@ -234,13 +234,13 @@
             )
 
     def _fit_subset(self) -> None:
-        self.roster.fit(self.clock.now())
+        self.roster.resize(self.clock.now())
 
-    def _as_agreed(self, entry: Listed) -> Listed:
+    def _as_agreed(self, entry: ListedServer) -> ListedServer:
         """Discovery knows nothing of work: what it lists as on drains while it is out."""
         if entry.facts.server not in self.out or entry.facts.presence != "on":
             return entry
-        return Listed(replace(entry.facts, presence="draining"), entry.address)
+        return ListedServer(replace(entry.facts, presence="draining"), entry.address)
 
     def counted(self, name: int, outcome: CounterOutcome, total: float, elapsed: float) -> None:
         self.gateway.counted(self.clock.now(), name, outcome, total, elapsed)
@@ -277,7 +277,7 @@
             self._forget(request)
 
     def _step_if_followed(self, request: Request, event: str, **fields: object) -> None:
-        if self.log.follows:
+        if self.log.logs_steps:
             self._step(request, event, **fields)
 
     def _step(self, request: Request, event: str, **fields: object) -> None:
@@ -296,14 +296,14 @@
         attempt = Attempt(request, request.sent, now, until, request.handle.begin_by(request.sent))
         request.sent += 1
         request.out[attempt.number] = attempt
-        if self.log.follows:
+        if self.log.logs_steps:
             left_s = request.deadline - now
             self._step(request, "execution.sent", attempt=attempt.number, server=server, left_s=left_s)
         # Guards against a process stopped for longer than its right lasts, which sends before any timer
         # has told it so: the right is looked up here, at each send.
         may = self.right is None or self.right.may_send(server)
         if may and not request.gone and self.fleet.send(server, attempt):
-            self.timers.at(until, self.expired, attempt)
+            self.timers.call_at(until, self.expired, attempt)
         else:
             # It never ran, and that says nothing of the server.
             self.soon.append((self.ended, (attempt, Answer("moot"))))
@@ -316,7 +316,7 @@
         request = self.open_requests.get(number)
         attempt = request.out.get(execution_number) if request else None
         if attempt is not None and not attempt.answered:
-            self.fleet.call_off(attempt)
+            self.fleet.cancel(attempt)
             self.soon.append((self.ended, (attempt, Answer("withdrawn"))))
 
     def _answer(self, number: int, answer: list[Buffer]) -> None:
@@ -330,7 +330,7 @@
         """The final answer of a request: the first one, and never another; `why` where no server gave it."""
         if request.answer is None and not request.gone:
             self.answered[why or SERVED] += 1
-            if self.log.follows:
+            if self.log.logs_steps:
                 self._step(request, "submission.answered", answer=kind_of(answer), why=why)
             request.answer = answer
             request.client.pass_on()
--- a/merlintally/net/log.py
+++ b/merlintally/net/log.py
@@ -27,7 +27,7 @@
 class Log:
     """Prints messages as lines; those beyond `per_second` a second are dropped and counted.
 
-    `follows` enables messages for each step of a request. `reread`, if set, is called at SIGHUP to
+    `logs_steps` enables messages for each step of a request. `on_reload`, if set, is called at SIGHUP to
     update the log's settings.
     """
 
@@ -37,22 +37,22 @@
         per_second: float,
         stream: TextIO | None = None,
         style: Style | None = None,
-        follows: bool = False,
+        logs_steps: bool = False,
     ) -> None:
         self.name, self.per_second, self.stream = name, per_second, stream
-        self.style, self.follows = style or Plain(), follows
-        self.reread: Callable[[Log], None] | None = None
-        self.room, self.refilled_at, self.left_out = per_second, time.monotonic(), 0
+        self.style, self.logs_steps = style or Plain(), logs_steps
+        self.on_reload: Callable[[Log], None] | None = None
+        self.tokens, self.refilled_at, self.left_out = per_second, time.monotonic(), 0
 
     def say(self, text: str, event: str = "said", **fields: object) -> None:
         """Logs a message: `event` and `fields` for structured lines, `text` with the same content to read."""
         now = time.monotonic()
-        self.room = min(self.per_second, self.room + (now - self.refilled_at) * self.per_second)
+        self.tokens = min(self.per_second, self.tokens + (now - self.refilled_at) * self.per_second)
         self.refilled_at = now
-        if self.room < 1:
+        if self.tokens < 1:
             self.left_out += 1
             return
-        self.room -= 1
+        self.tokens -= 1
         left_out, self.left_out = self.left_out, 0
         try:
             line = self.style.line(self.name, event, text, fields, left_out)
--- a/merlintally/net/node.py
+++ b/merlintally/net/node.py
@@ -22,9 +22,9 @@
 from merlintally.net.clients import Clients
 from merlintally.net.configuration import (
     Address,
+    ConfigurationError,
     Deployment,
-    Faulty,
-    Unreadable,
+    UnreadableConfiguration,
     fixed_changes,
     read_deployment,
 )
@@ -37,7 +37,7 @@
 from merlintally.net.phases import Phase, Phases
 from merlintally.net.polling import ObservedLoop
 from merlintally.net.servers import Fleet
-from merlintally.net.sockets import Allowance
+from merlintally.net.sockets import ResourceLimit
 from merlintally.net.timers import Clock, Timers
 from merlintally.subsets import USUAL, Terms
 
@@ -58,7 +58,7 @@
         errno.EIO,
     }
 )
-Part = Callable[["EdgeNode", Dispatcher], Awaitable[None]]
+NodeTask = Callable[["EdgeNode", Dispatcher], Awaitable[None]]
 
 
 class EdgeNode:
@@ -68,7 +68,9 @@
     accepted requests are answered; each is called with the node and its dispatcher.
     """
 
-    def __init__(self, deployment: Deployment, log: Log | None = None, parts: Iterable[Part] = ()) -> None:
+    def __init__(
+        self, deployment: Deployment, log: Log | None = None, parts: Iterable[NodeTask] = ()
+    ) -> None:
         self.deployment, self.parts = deployment, parts
         self.log = log or Log(deployment.name, deployment.bounds.log_lines)
         self.phases = Phases()
@@ -115,9 +117,9 @@
                 keys=",".join(fixed),
             )
         if self.discovery is not None:
-            self.discovery.move(after.discovery)
+            self.discovery.set_address(after.discovery)
         if self.counter is not None and after.counter is not None:
-            self.counter.move(after.counter)
+            self.counter.set_address(after.counter)
 
     async def serve(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Serves until a graceful shutdown has ended; `task_status` is set when requests are accepted."""
@@ -147,9 +149,9 @@
             config.pushed,
         )
         async with anyio.create_task_group() as group:
-            memory_limit = Allowance(int(config.memory * bounds.held_share))
+            memory_limit = ResourceLimit(int(config.memory * bounds.held_share))
             fleet = Fleet(
-                config, dispatcher, clock, log, group, Allowance(config.server_descriptors), memory_limit
+                config, dispatcher, clock, log, group, ResourceLimit(config.server_descriptors), memory_limit
             )
             clients = Clients(
                 config,
@@ -159,7 +161,7 @@
                 clock,
                 log,
                 group,
-                Allowance(config.client_descriptors),
+                ResourceLimit(config.client_descriptors),
                 memory_limit,
                 self.listening_since + clock.offset,
             )
@@ -254,7 +256,7 @@
             fleet.sweep()
 
 
-def reread(node: EdgeNode, first: bool = True) -> bool:
+def reload_configuration(node: EdgeNode, first: bool = True) -> bool:
     """Reads the configuration file and applies it; an invalid file leaves the old configuration in force.
 
     Returns False if the file could not be read or is no JSON, which is logged at the `first` attempt only.
@@ -262,10 +264,10 @@
     try:
         node.reload(read_deployment(os.environ))
         return True
-    except Faulty as error:
-        if first or not isinstance(error, Unreadable):
+    except ConfigurationError as error:
+        if first or not isinstance(error, UnreadableConfiguration):
             node.log.say(f"{error}; the old configuration stays in force", "configuration.faulty")
-        return not isinstance(error, Unreadable)
+        return not isinstance(error, UnreadableConfiguration)
 
 
 async def reload_at_signal(node: EdgeNode) -> None:
@@ -274,13 +276,13 @@
     Retries for `reread_s` while the file can't be read: it may still be being written at the signal, and no
     second signal follows.
     """
-    readable, bounds = reread(node), node.deployment.bounds
-    if node.log.reread is not None:
-        node.log.reread(node.log)
+    readable, bounds = reload_configuration(node), node.deployment.bounds
+    if node.log.on_reload is not None:
+        node.log.on_reload(node.log)
     with anyio.move_on_after(bounds.reread_s):
         while not readable:
             await anyio.sleep(bounds.again_s)
-            readable = reread(node, first=False)
+            readable = reload_configuration(node, first=False)
 
 
 async def bind_with_retries(node: EdgeNode) -> None:
@@ -296,14 +298,14 @@
 
 
 def read_with_retries(environment: Mapping[str, str]) -> Deployment:
-    """Reads the configuration at the start; raises `Faulty`.
+    """Reads the configuration at the start; raises `ConfigurationError`.
 
     Retries for about a second where the system is short of descriptors or memory.
     """
     for _ in range(READ_TRIES - 1):
         try:
             return read_deployment(environment)
-        except Unreadable as error:
+        except UnreadableConfiguration as error:
             if not isinstance(error.__cause__, OSError) or error.__cause__.errno not in TRANSIENT_ERRORS:
                 raise
         time.sleep(READ_PAUSE_S)
@@ -318,7 +320,7 @@
         await call(node)
 
 
-async def run_program(deployment: Deployment, log: Log | None = None, parts: Iterable[Part] = ()) -> None:
+async def run_program(deployment: Deployment, log: Log | None = None, parts: Iterable[NodeTask] = ()) -> None:
     """Runs a node until SIGTERM or SIGINT; SIGHUP reloads the configuration. Raises OSError if the addresses
     can't be bound."""
     node = EdgeNode(deployment, log, parts)
@@ -353,7 +355,7 @@
 
 def main(
     make_log: Callable[[Deployment], Log] | None = None,
-    parts: Iterable[Part] = (),
+    parts: Iterable[NodeTask] = (),
     subsets: Terms | None = USUAL,
 ) -> int:
     """Runs the node configured by LB_CONFIG. Returns the exit code: 0 after a graceful shutdown, 1 if the
@@ -365,7 +367,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # SIGHUP must not end a process that is starting or stopping
     try:
         deployment = replace(read_with_retries(os.environ), subsets=subsets)
-    except Faulty as error:
+    except ConfigurationError as error:
         print(f"merlintally: {error}", file=sys.stderr)
         return 2
     try:
--- a/merlintally/net/roster.py
+++ b/merlintally/net/roster.py
@@ -13,7 +13,7 @@
 ANSWERED: tuple[Outcome, ...] = ("ok", "error", "full")
 UNANSWERED: tuple[Outcome, ...] = ("timed_out", "unreachable", "broken")
 # Called with entries, and whether they are the whole list.
-Tell = Callable[[Sequence[Listing], bool], None]
+OnUpdate = Callable[[Sequence[Listing], bool], None]
 
 
 def subset_of(deployment: Deployment) -> Subset | None:
@@ -25,13 +25,13 @@
 
 
 class Roster:
-    """Tracks the list and the ends of attempts, and publishes changes of the node's subset to `tell`.
+    """Tracks the list and the ends of attempts, and publishes changes of the node's subset to `on_update`.
 
     A server that leaves the subset is published as gone: its attempts end, and it gets no new ones.
     """
 
-    def __init__(self, subset: Subset | None, gateway: Gateway, tell: Tell) -> None:
-        self.subset, self._gateway, self._tell = subset, gateway, tell
+    def __init__(self, subset: Subset | None, gateway: Gateway, on_update: OnUpdate) -> None:
+        self.subset, self._gateway, self._on_update = subset, gateway, on_update
 
     def listed(self, now: float, entries: Sequence[Listing], complete: bool) -> None:
         """Applies a list from discovery, or changes to it unless `complete`."""
@@ -47,7 +47,7 @@
         if self.subset.reported(now, server, outcome in ANSWERED):
             self._publish(self.subset.members(), True)
 
-    def fit(self, now: float) -> None:
+    def resize(self, now: float) -> None:
         """Grows the subset while requests wait for capacity in it; shrinks it when a smaller one suffices."""
         if self.subset is None or not self.subset.bounded:
             return
@@ -58,4 +58,4 @@
     def _publish(self, entries: Sequence[Listing], complete: bool) -> None:
         if self.subset is not None and self.subset.sharing != self._gateway.sharing:
             self._gateway.share(self.subset.sharing)
-        self._tell(entries, complete)
+        self._on_update(entries, complete)
--- a/merlintally/net/servers.py
+++ b/merlintally/net/servers.py
@@ -18,7 +18,7 @@
 from merlintally.net.requests import Answer, Attempt
 from merlintally.net.resp import array_at, bulk, line_end
 from merlintally.net.send_guard import SendGuard
-from merlintally.net.sockets import Allowance, Stream, connect, tcp_socket
+from merlintally.net.sockets import ResourceLimit, Stream, connect, tcp_socket
 from merlintally.net.timers import Clock
 from merlintally.subsets import Listing
 
@@ -89,7 +89,7 @@
         self.fleet, self.server = fleet, server
         self.attempt: Attempt | None = attempt
         # Doesn't wait for memory, since handling an answer releases more than it uses.
-        self.stream = Stream(tcp_socket(), fleet.held, waits=False)
+        self.stream = Stream(tcp_socket(), fleet.memory, wait_for_memory=False)
         self.idle_since, self.dead, self.connected = 0.0, False, False
         attempt.link = self
 
@@ -114,7 +114,7 @@
         finally:
             self.dead = True
             self.stream.close()
-            self.fleet.forget(self)
+            self.fleet.discard(self)
             if (attempt := self.attempt) is not None:
                 self.attempt = None
                 await self.fleet.report_end(attempt, Answer("broken" if attempt.written else "unreachable"))
@@ -127,14 +127,14 @@
             return
         self.connected = True
         if self.attempt is None:  # cancelled while connecting: the connection is available for others
-            self.fleet.rest(self)
+            self.fleet.release(self)
         else:
             self.begin(self.attempt)
         fleet, stream = self.fleet, self.stream
         while await self._receive_more():
             parsed = parse_answer(stream.buffer, stream.start, stream.end, fleet.reported)
             if parsed is None:
-                if stream.overfull:
+                if stream.is_full:
                     raise Malformed("an answer is larger than the receive buffer")
                 continue
             answer, stream.start = parsed
@@ -144,7 +144,7 @@
             self.attempt = None
             self.dead = self.dead or stream.start < stream.end or not attempt.written
             if not self.dead:
-                self.fleet.rest(self)
+                self.fleet.release(self)
             await fleet.report_end(attempt, answer)
             if self.dead:
                 return
@@ -189,7 +189,7 @@
     def end(self) -> None:
         """Shuts the connection down; its task closes the socket."""
         self.dead = True
-        self.stream.hang_up()
+        self.stream.shut_down()
 
 
 class Server:
@@ -214,7 +214,7 @@
 class Fleet:
     """The app servers that this node uses, with a connection pool for each.
 
-    `descriptors` limits the open connections, `held` the memory for answers.
+    `descriptors` limits the open connections, `memory` the memory for answers.
     """
 
     def __init__(
@@ -224,11 +224,11 @@
         clock: Clock,
         log: Log,
         group: TaskGroup,
-        descriptors: Allowance,
-        held: Allowance,
+        descriptors: ResourceLimit,
+        memory: ResourceLimit,
     ) -> None:
         self.dispatcher, self.clock, self.log, self.group = dispatcher, clock, log, group
-        self.descriptors, self.held, self.reported = descriptors, held, deployment.reported
+        self.descriptors, self.memory, self.reported = descriptors, memory, deployment.reported
         self.connect_timeout_s = deployment.connect_time_out
         self.reuse_delay_s, self.stall_s = deployment.bounds.rest_s, deployment.bounds.stall_s
         self.max_idle_s = deployment.idle_close * deployment.bounds.idle_share
@@ -255,7 +255,7 @@
         )
         check(not second_copy, Invariant.ONE_COPY, request.id)
 
-    def roster(self, entries: Iterable[Listing], complete: bool) -> None:
+    def update_servers(self, entries: Iterable[Listing], complete: bool) -> None:
         """Applies a list of servers, or changes to it unless `complete`. Servers that are draining or gone
         keep their attempts in progress and get no new ones."""
         listed_names = set()
@@ -291,13 +291,13 @@
         server = self.servers.get(name)
         if server is None or not self.guard.allows(attempt, server.presence):
             return False
-        while (link := self._rested(server)) is not None:
+        while (link := self._take_idle(server)) is not None:
             # A connection with something to read was closed by its server, or carries garbage.
-            if not link.dead and link.stream.quiet():
+            if not link.dead and link.stream.nothing_to_read():
                 link.begin(attempt)
                 return True
             link.end()
-        if self.descriptors.full and not self._give_way():
+        if self.descriptors.full and not self._close_longest_idle():
             self.log.say("no file descriptors are left for connections to app servers", "servers.descriptors")
             return False
         try:
@@ -305,12 +305,12 @@
         except OSError as error:
             self.log.say(f"no connection can be opened: {error.strerror}", "servers.open")
             return False
-        self.descriptors.take()
+        self.descriptors.acquire()
         server.links[link] = None
         self.group.start_soon(link.run)
         return True
 
-    def _rested(self, server: Server) -> Link | None:
+    def _take_idle(self, server: Server) -> Link | None:
         """Removes and returns the most recently used idle connection that is fit for use, if any.
 
         Connections that answered less than `reuse_delay_s` ago are skipped: a duplicate answer or garbage
@@ -326,12 +326,12 @@
                 return server.idle.pop(index)
         return None
 
-    def busy(self, name: str) -> int:
+    def attempts_in_flight(self, name: str) -> int:
         """The number of attempts in progress at the server `name`, including those still connecting."""
         server = self.servers.get(name)
         return sum(link.attempt is not None for link in server.links) if server is not None else 0
 
-    def call_off(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Cancels an attempt by ending its connection; a connection still being set up is kept for others."""
         link = attempt.link
         if isinstance(link, Link) and link.attempt is attempt:
@@ -339,7 +339,7 @@
             if link.connected:
                 link.end()
 
-    def rest(self, link: Link) -> None:
+    def release(self, link: Link) -> None:
         """Returns a connection to the pool; ends it if its server takes no new attempts."""
         if link.server.presence != "on":
             link.end()
@@ -347,8 +347,8 @@
             link.idle_since = self.clock.now()
             link.server.idle.append(link)
 
-    def forget(self, link: Link) -> None:
-        self.descriptors.give()
+    def discard(self, link: Link) -> None:
+        self.descriptors.release()
         link.server.links.pop(link, None)
         if link in link.server.idle:
             link.server.idle.remove(link)
@@ -366,7 +366,7 @@
             while server.idle and server.idle[0].idle_since < retire_before:
                 server.idle.pop(0).end()
 
-    def _give_way(self) -> bool:
+    def _close_longest_idle(self) -> bool:
         """Ends the connection that has been idle for longest; False if none is idle."""
         longest_idle = [server.idle[0] for server in self.servers.values() if server.idle]
         if longest_idle:
--- a/merlintally/net/sockets.py
+++ b/merlintally/net/sockets.py
@@ -29,36 +29,36 @@
 ENDED_STATES = frozenset({8, 9, 11})  # CLOSE_WAIT, LAST_ACK, CLOSING
 
 
-def passes(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Whether a failed read or write is to be repeated: the error may pass, and closing the connection would
     lose its requests."""
     return error.errno in SHORTAGES or error.errno in ROUTE_ERRORS
 
 
-class Allowance:
+class ResourceLimit:
     """Limits a resource held at one time, such as descriptors or bytes of memory.
 
-    `take` never blocks and may exceed the limit; callers check `full`, or await
-    `room` first.
+    `acquire` never blocks and may exceed the limit; callers check `full`, or await
+    `available` first.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+    def __init__(self, limit: int) -> None:
+        self.limit, self.used = limit, 0
         self._freed = anyio.Event()
 
     @property
     def full(self) -> bool:
-        return self.held >= self.most
+        return self.used >= self.limit
 
-    def take(self, amount: int = 1) -> None:
-        self.held += amount
+    def acquire(self, amount: int = 1) -> None:
+        self.used += amount
 
-    def give(self, amount: int = 1) -> None:
-        self.held -= amount
+    def release(self, amount: int = 1) -> None:
+        self.used -= amount
         freed, self._freed = self._freed, anyio.Event()
         freed.set()
 
-    async def room(self) -> None:
+    async def available(self) -> None:
         """Waits until the limit is not reached."""
         while self.full:
             await self._freed.wait()
@@ -74,7 +74,7 @@
         except (BlockingIOError, InterruptedError):
             return rest
         except OSError as error:
-            if passes(error):
+            if is_transient(error):
                 return rest
             raise
         complete = 0
@@ -90,13 +90,15 @@
 class Stream:
     """A connected socket with a receive buffer, whose bytes from `start` to `end` are not yet consumed.
 
-    The buffer's size beyond the initial one counts against the limit `held`. With `waits`, the
+    The buffer's size beyond the initial one counts against the limit `memory`. With `wait_for_memory`, the
     buffer grows only while that limit is not reached; otherwise it grows regardless.
     """
 
-    def __init__(self, sock: socket.socket, held: Allowance | None = None, waits: bool = True) -> None:
+    def __init__(
+        self, sock: socket.socket, memory: ResourceLimit | None = None, wait_for_memory: bool = True
+    ) -> None:
         self.sock, self.closed, self.was_reset = sock, False, False
-        self.held, self.waits = held or Allowance(MAX_BUFFER_BYTES), waits
+        self.memory, self.wait_for_memory = memory or ResourceLimit(MAX_BUFFER_BYTES), wait_for_memory
         self.buffer, self.start, self.end = bytearray(INITIAL_BUFFER_BYTES), 0, 0
         self.unsent: list[Buffer] = []
 
@@ -107,8 +109,10 @@
             if not await self._wait_ready(anyio.wait_readable):
                 continue
             self._make_room()
-            while self.end == len(self.buffer) and self.waits and self.held.full and not self.closed:
-                await self.held.room()
+            while (
+                self.end == len(self.buffer) and self.wait_for_memory and self.memory.full and not self.closed
+            ):
+                await self.memory.available()
             self._grow()
             try:
                 count = self.sock.recv_into(memoryview(self.buffer)[self.end :])
@@ -117,7 +121,7 @@
             except OSError as error:
                 if error.errno not in SHORTAGES:
                     self.was_reset = True  # stays set: data that ends after it may be incomplete
-                if not passes(error):
+                if not is_transient(error):
                     return 0
                 await anyio.sleep(RETRY_S)
                 continue
@@ -141,7 +145,7 @@
         if self.start == self.end:
             self.start = self.end = 0
             if len(self.buffer) > INITIAL_BUFFER_BYTES:
-                self.held.give(len(self.buffer) - INITIAL_BUFFER_BYTES)
+                self.memory.release(len(self.buffer) - INITIAL_BUFFER_BYTES)
                 self.buffer = bytearray(INITIAL_BUFFER_BYTES)
         elif self.start and self.end == len(self.buffer):
             unconsumed = self.buffer[self.start : self.end]
@@ -151,11 +155,11 @@
     def _grow(self) -> None:
         if self.end == len(self.buffer):
             growth = min(len(self.buffer) * 3, max(0, MAX_BUFFER_BYTES - len(self.buffer)))
-            self.held.take(growth)
+            self.memory.acquire(growth)
             self.buffer.extend(bytes(growth))
 
     @property
-    def overfull(self) -> bool:
+    def is_full(self) -> bool:
         """Whether as many bytes are unconsumed as the buffer may hold."""
         return self.end - self.start >= MAX_BUFFER_BYTES
 
@@ -185,7 +189,7 @@
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
-            return not passes(error)
+            return not is_transient(error)
         return self._tcp_state() in ENDED_STATES
 
     def _tcp_state(self) -> int:
@@ -195,7 +199,7 @@
         except (OSError, IndexError):
             return 0
 
-    def quiet(self) -> bool:
+    def nothing_to_read(self) -> bool:
         """Whether there is nothing to read: neither bytes nor the peer's end nor an error."""
         try:
             self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -210,7 +214,7 @@
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
-    def hang_up(self) -> None:
+    def shut_down(self) -> None:
         """Shuts down both directions, which wakes the reading task to close the socket. If that fails, the
         socket is closed here, so that a cancelled exchange does not continue."""
         try:
@@ -222,13 +226,13 @@
         """Closes the socket and releases the buffer's memory; does nothing if closed."""
         if not self.closed:
             self.closed = True
-            self.held.give(len(self.buffer) - INITIAL_BUFFER_BYTES)
+            self.memory.release(len(self.buffer) - INITIAL_BUFFER_BYTES)
             anyio.notify_closing(self.sock)
             with suppress(OSError):  # the descriptor is released even then
                 self.sock.close()
 
 
-def prepared(sock: socket.socket) -> socket.socket:
+def configure_tcp(sock: socket.socket) -> socket.socket:
     """Makes a TCP socket non-blocking and disables Nagle's algorithm if possible."""
     sock.setblocking(False)
     with suppress(OSError):  # the connection is only slower without it
@@ -238,7 +242,7 @@
 
 def tcp_socket() -> socket.socket:
     """A new non-blocking TCP socket; raises OSError."""
-    return prepared(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
+    return configure_tcp(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
 
 
 async def connect(sock: socket.socket, address: tuple[str, int]) -> None:
--- a/merlintally/net/start_times.py
+++ b/merlintally/net/start_times.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from merlintally.net.configuration import Listed
+from merlintally.net.configuration import ListedServer
 
 MAX_STEPS = 16
 MIN_STEP_S = 0.01  # smaller differences come from reading the clocks one after the other
@@ -44,7 +44,7 @@
         self._steps = steps
         self._starts: dict[str, tuple[float, float]] = {}  # server -> stated start, start by the node's clock
 
-    def listed(self, now: float, entries: Iterable[Listed], complete: bool) -> list[Listed]:
+    def listed(self, now: float, entries: Iterable[ListedServer], complete: bool) -> list[ListedServer]:
         """The same entries with start times by the node's clock; `complete` if they are the whole list."""
         converted = [self._by_clock(now, entry) for entry in entries]
         if complete:
@@ -52,7 +52,7 @@
             self._starts = {name: start for name, start in self._starts.items() if name in listed_servers}
         return converted
 
-    def _by_clock(self, now: float, entry: Listed) -> Listed:
+    def _by_clock(self, now: float, entry: ListedServer) -> ListedServer:
         server, stated = entry.facts.server, entry.facts.started
         if stated <= 0 or entry.facts.presence == "gone":  # unknown start, or no longer relevant
             self._starts.pop(server, None)
@@ -60,7 +60,7 @@
         start = self._starts.get(server)
         if start is None or start[0] != stated:
             start = self._starts[server] = (stated, self.start_of(stated, now))
-        return Listed(replace(entry.facts, started=start[1]), entry.address)
+        return ListedServer(replace(entry.facts, started=start[1]), entry.address)
 
     def start_of(self, stated: float, now: float) -> float:
         """Converts a stated start, assuming that it was read at any of the known offsets of the wall clock.
--- a/merlintally/net/timers.py
+++ b/merlintally/net/timers.py
@@ -29,7 +29,7 @@
         """The time in seconds, which never decreases."""
         return time.monotonic() + self.offset
 
-    def look_at_wall(self) -> float:
+    def wall_clock_step(self) -> float:
         """The step of the wall clock since the last call, in seconds; 0 if there was none.
 
         Also 0 if the process was suspended between reading the two clocks, so that they can't be compared.
@@ -50,7 +50,7 @@
         self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []  # a heap by time
         self.last_number, self.sleep_scope = 0, anyio.CancelScope()
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
         """Schedules `call(*args)` for `when`, in seconds of the node's clock."""
         self.last_number += 1
         heapq.heappush(self.due, (when, self.last_number, call, args))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,7 +17,7 @@
 from merlintally.choice import Customer, Gateway, Submission
 from merlintally.interface import LaneFacts, PlanFacts, ServerFacts, StartFacts
 from merlintally.net import Deployment, EdgeNode
-from merlintally.net.configuration import Listed, deployment_of, page
+from merlintally.net.configuration import ListedServer, parse_deployment, parse_page
 from merlintally.net.log import Log
 from merlintally.net.polling import ObservedLoop
 from merlintally.net.requests import Request
@@ -113,7 +113,7 @@
             "familyInfo": {"largest": 6},
         },
     }
-    found = deployment_of(given, {})
+    found = parse_deployment(given, {})
     return replace(found, listen=("127.0.0.1", 0), **changes)
 
 
@@ -216,8 +216,8 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-def known(*servers: Standin) -> tuple[Listed, ...]:
-    return tuple(page(json.loads(listing(*servers).split(b"\r\n\r\n")[1]))[2])
+def known(*servers: Standin) -> tuple[ListedServer, ...]:
+    return tuple(parse_page(json.loads(listing(*servers).split(b"\r\n\r\n")[1]))[2])
 
 
 def answers_in(heard: bytes) -> int:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,14 +12,14 @@
 from helpers import HI, Scene, known, play, said, server, silent, taken, told, until
 
 from merlintally.net.clients import Client, Clients
-from merlintally.net.configuration import Bounds, page
+from merlintally.net.configuration import Bounds, parse_page
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.phases import Phase, Phases
 from merlintally.net.requests import Attempt
 from merlintally.net.resp import array
 from merlintally.net.servers import Fleet
-from merlintally.net.sockets import Allowance
+from merlintally.net.sockets import ResourceLimit
 from merlintally.net.timers import Clock
 
 
@@ -34,8 +34,8 @@
         Clock(),
         Log("n", 9.0),
         Mock(),
-        Allowance(1),
-        Allowance(1 << 20),
+        ResourceLimit(1),
+        ResourceLimit(1 << 20),
     )
 
 
@@ -203,7 +203,9 @@
     dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0))
     dispatcher.timers, dispatcher.fleet = Mock(), Mock()
     dispatcher.listed(
-        page({"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]})[2],
+        parse_page({"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]})[
+            2
+        ],
         True,
     )
     dispatcher.end_all()
@@ -215,7 +217,7 @@
 
 def test_a_connection_that_came_before_the_listener_closes_is_taken_beyond_the_descriptors() -> None:
     clients = clients_of()
-    clients.descriptors.take()
+    clients.descriptors.acquire()
     clients.listener = socket.create_server(("127.0.0.1", 0))
     clients.listener.setblocking(False)
     with socket.create_connection(clients.listener.getsockname()):
@@ -260,9 +262,9 @@
     async def act() -> None:
         async with anyio.create_task_group() as group:
             fleet = Fleet(
-                deployment, dispatcher, clock, Log("n", 9.0), group, Allowance(9), Allowance(1 << 20)
+                deployment, dispatcher, clock, Log("n", 9.0), group, ResourceLimit(9), ResourceLimit(1 << 20)
             )
-            fleet.roster(deployment.known, True)
+            fleet.update_servers(deployment.known, True)
             now = clock.now()
             attempt = Attempt(one, 1, now, now + 5.0, now + 5.0)
             assert fleet.send("s0", attempt)
@@ -270,7 +272,7 @@
             if change == "late":
                 attempt.begin_by = now
             if change == "draining":
-                fleet.roster(
+                fleet.update_servers(
                     [replace(row, facts=replace(row.facts, presence="draining")) for row in deployment.known],
                     False,
                 )
@@ -287,10 +289,10 @@
     """With servers that close after a second, one was written to 0.1 s before: what crosses may have run."""
     at, clock = silent(), Clock()
     deployment = told(known=known(at), idle_close=1.0)
-    fleet = Fleet(deployment, Mock(), clock, Log("n", 9.0), Mock(), Allowance(9), Allowance(1 << 20))
-    fleet.roster(deployment.known, True)
+    fleet = Fleet(deployment, Mock(), clock, Log("n", 9.0), Mock(), ResourceLimit(9), ResourceLimit(1 << 20))
+    fleet.update_servers(deployment.known, True)
     links = [Mock(idle_since=clock.now() - ago) for ago in (0.9, 0.3, 0.001)]
     fleet.servers["s0"].idle.extend(links)
-    assert fleet._rested(fleet.servers["s0"]) is links[1]
-    assert fleet._rested(fleet.servers["s0"]) is None
+    assert fleet._take_idle(fleet.servers["s0"]) is links[1]
+    assert fleet._take_idle(fleet.servers["s0"]) is None
     at.sock.close()
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -18,7 +18,7 @@
 from merlintally.net.arrivals import MOST_SEGMENTS, Arrivals
 from merlintally.net.client_stream import FRESH_S
 from merlintally.net.closures import CloseReason, Closures
-from merlintally.net.configuration import Bounds, Faulty, deployment_of
+from merlintally.net.configuration import Bounds, ConfigurationError, parse_deployment
 from merlintally.net.log import Log
 from merlintally.net.polling import UNKNOWN, ObservedLoop, ObservedSelector, ReadyTimes
 
@@ -367,5 +367,7 @@
             "tariffs": [{"name": "plan", "unitsPerS": 1, "mostAtOnce": 1}],
         },
     }
-    with pytest.raises(Faulty, match=r"^limits\.sockets: 64 leaves 28 for clients and 4 for app servers"):
-        deployment_of(given, {})
+    with pytest.raises(
+        ConfigurationError, match=r"^limits\.sockets: 64 leaves 28 for clients and 4 for app servers"
+    ):
+        parse_deployment(given, {})
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -52,7 +52,7 @@
 from merlintally.interface import ServerFacts
 from merlintally.net import counter as counter_module
 from merlintally.net import servers
-from merlintally.net.configuration import Bounds, Listed
+from merlintally.net.configuration import Bounds, ListedServer
 from merlintally.net.discovery import Discovery
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
@@ -159,7 +159,7 @@
 
 def start_told(dispatcher: Dispatcher, started: float) -> float:
     """Lists a server that started at `started` (wall clock); returns its age as the decisions see it."""
-    listed_server = Listed(ServerFacts("s1", "on", "z", 0, started, 1.0, "m"), ("127.0.0.1", 1))
+    listed_server = ListedServer(ServerFacts("s1", "on", "z", 0, started, 1.0, "m"), ("127.0.0.1", 1))
     dispatcher.listed([listed_server], True)
     return dispatcher.clock.now() - dispatcher.gateway.servers["s1"].started
 
@@ -591,7 +591,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(discovery._apply, listing(silent(), index=4).partition(b"\r\n\r\n")[2])
             await until(lambda: owner.post.called)
-            discovery.move(new)
+            discovery.set_address(new)
             release.set()
         assert discovery.version is None
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -115,7 +115,7 @@
         log = Log("n0", 1.0, stream, Structured(form))
         log.say("the loop runs late", "loop.late", late_s=0.25)
         log.say("not said")
-        log.room = 1.0
+        log.tokens = 1.0
         log.say("two\nlines", "other")
         first, second = stream.getvalue().splitlines()
         assert has in first and "0.25" in first and "n0" in first
@@ -133,7 +133,7 @@
     server = Standin(lambda heard: b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 
     async def act(scene: Scene) -> None:
-        scene.node.log.style, scene.node.log.follows = Structured("json"), True
+        scene.node.log.style, scene.node.log.logs_steps = Structured("json"), True
         assert (await scene.ask(said(number=b"00000000000000aa"))).startswith(b"$1")
         await anyio.sleep(0.02)
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -10,7 +10,7 @@
 from helpers import HI, Scene, Standin, known, listing, play, said, server, told, until
 
 from merlintally.net import EdgeNode
-from merlintally.net.configuration import Bounds, deployment_of
+from merlintally.net.configuration import Bounds, parse_deployment
 from merlintally.net.discovery import Discovery
 from merlintally.net.log import Log
 
@@ -86,7 +86,7 @@
     dispatcher = Mock(post=AsyncMock())
 
     async def get(discovery: Discovery, *call: object) -> bytes:
-        discovery.move(("127.0.0.1", 2))
+        discovery.set_address(("127.0.0.1", 2))
         return listing(index=9).split(b"\r\n\r\n")[1]
 
     async def follow() -> int | None:
@@ -104,7 +104,7 @@
 
     async def pauses(local: bool) -> list[float]:
         discovery = Discovery(("127.0.0.1", 1), 3, Bounds(), Mock(), Random(1), Log("n", 9.0), local)
-        return [discovery.backoff.failed() for _ in range(20)]
+        return [discovery.backoff.delay_after_failure() for _ in range(20)]
 
     assert max(anyio.run(pauses, True)) <= Bounds().again_s < 1.0 < max(anyio.run(pauses, False))
 
@@ -117,6 +117,6 @@
         "familyInfo": {"largest": 6},
     }
     assert [
-        deployment_of({**given, "settings": {**settings, **more}}, {}).pushed
+        parse_deployment({**given, "settings": {**settings, **more}}, {}).pushed
         for more in ({}, {"discovery": "pushed"}, {"discovery": "on_request"})
     ] == [False, True, False]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -37,12 +37,12 @@
 from merlintally.net.clients import Client
 from merlintally.net.configuration import Bounds
 from merlintally.net.log import Log
-from merlintally.net.node import reread
+from merlintally.net.node import reload_configuration
 from merlintally.net.phases import Phase
 from merlintally.net.polling import ReadyTimes
 from merlintally.net.requests import PendingAnswer
 from merlintally.net.resp import array, bulk
-from merlintally.net.sockets import Allowance
+from merlintally.net.sockets import ResourceLimit
 from merlintally.net.timers import Clock
 
 ROOT = Path(__file__).parent.parent
@@ -378,7 +378,7 @@
     async def act(scene: Scene) -> None:
         await anyio.sleep(1.7)
 
-    with patch("merlintally.net.discovery.TOLD_S", 2.0):
+    with patch("merlintally.net.discovery.CHANGE_NOTICE_S", 2.0):
         play(told(discovery=discovery.address, bounds=Bounds(watch_s=0.4, answer_s=3.0)), act, discovery, at)
     assert len(times) == 3 and times[2] - times[1] < 1.6
 
@@ -405,7 +405,7 @@
     """Guards against hundreds of nodes whose asking leaves no answer to any, and drains told unheard."""
     asked, gaps = refusing(Bounds(spared_s=0.05))
     assert 3 <= len(asked) < 12 and all(b"since=7" in one for one in asked[1:]) and gaps[-1] > gaps[1]
-    with patch("merlintally.net.discovery.TOLD_S", 0.5):
+    with patch("merlintally.net.discovery.CHANGE_NOTICE_S", 0.5):
         asked, gaps = refusing(Bounds(spared_s=60.0, asked_before_s=0.1, watch_s=0.1))
     assert len(asked) >= 3 and max(gaps) < 0.6
 
@@ -492,7 +492,7 @@
     if text is not None:
         path.write_text(text)
     with patch.dict(os.environ, {"LB_CONFIG": str(path)}), patch.object(node, "reload") as reload:
-        reread(node)
+        reload_configuration(node)
     assert not reload.called and said_so.getvalue().endswith("stays in force\n")
 
 
@@ -644,7 +644,7 @@
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     clients: Any = SimpleNamespace(
-        held=Allowance(1 << 20), clock=Clock(), bounds=Bounds(), group=Mock(), ready_times=ReadyTimes()
+        held=ResourceLimit(1 << 20), clock=Clock(), bounds=Bounds(), group=Mock(), ready_times=ReadyTimes()
     )
     client = Client(clients, ours)
     client.pending.append(PendingAnswer([b"x" * (8 << 20)]))
@@ -654,7 +654,7 @@
     client.stream.unsent = []
     client._hold_unread()
     ours.close()
-    assert clients.held.held == 0
+    assert clients.held.used == 0
 
 
 def test_a_datagram_of_a_stranger_or_beyond_256_bytes_is_dropped() -> None:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -16,11 +16,11 @@
 from merlintally.fields import Malformed
 from merlintally.net.backoff import Backoff
 from merlintally.net.configuration import (
-    Faulty,
-    deployment_of,
+    ConfigurationError,
     fixed_changes,
-    page,
     parse_bounds,
+    parse_deployment,
+    parse_page,
     read_deployment,
 )
 from merlintally.net.counter import PARTIAL_ANSWER, Call, Counter, parse_outcome
@@ -173,7 +173,7 @@
     dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, log))
     dispatcher.timers = dispatcher.fleet = others = Mock()
     rows = [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]
-    dispatcher.listed(page({"index": 1, "endpoints": rows})[2], True)
+    dispatcher.listed(parse_page({"index": 1, "endpoints": rows})[2], True)
     request = taken(said())
     request.deadline = dispatcher.clock.now() + 1.0
     dispatcher.take(request)
@@ -186,7 +186,7 @@
         set(),
         "",
     )
-    assert others.at.called and not others.send.called
+    assert others.call_at.called and not others.send.called
 
 
 def test_one_failing_result_does_not_prevent_the_others() -> None:
@@ -244,9 +244,9 @@
     with ours:
         ours.setblocking(False)
         stream = Stream(ours)
-        assert stream.quiet()
+        assert stream.nothing_to_read()
         theirs.close()
-        assert not stream.quiet()
+        assert not stream.nothing_to_read()
 
 
 @pytest.mark.parametrize(
@@ -267,17 +267,17 @@
 def test_backoff_randomizes_failures_doubles_refusals_and_recovers_with_answers() -> None:
     """Many nodes must not retry at the same time, and delays must shrink again after answers."""
     waits = Backoff(Random(1), 0.1, 5.0, 4.0, 20.0)
-    failed = [waits.failed() for _ in range(60)]
+    failed = [waits.delay_after_failure() for _ in range(60)]
     assert min(failed) >= 0.1 and 2.0 < max(failed) <= 5.0 and failed[0] <= 0.2 and failed[1] <= 0.4
     assert len(set(failed)) == 60
-    refused = [waits.refused() for _ in range(4)]
+    refused = [waits.delay_after_refusal() for _ in range(4)]
     assert all(
         0.5 * pause <= delay <= 1.5 * pause for delay, pause in zip(refused, (4, 8, 16, 20), strict=True)
     )
-    waits.worked()
-    assert (waits.pause_s, waits.failures) == (12.0, 0) and waits.failed() <= 0.2
+    waits.record_answer()
+    assert (waits.pause_s, waits.failures) == (12.0, 0) and waits.delay_after_failure() <= 0.2
     for _ in range(6):
-        waits.worked()
+        waits.record_answer()
     assert waits.pause_s == 0.0
 
 
@@ -288,9 +288,9 @@
     clock, wall = Clock(), time.time
     before = clock.now()
     monkeypatch.setattr(time, "time", lambda: wall() + step)
-    assert clock.look_at_wall() == pytest.approx(step, abs=0.5)
+    assert clock.wall_clock_step() == pytest.approx(step, abs=0.5)
     assert 0 <= clock.now() - before < 0.5  # no part of the step shows, now or later
-    assert clock.look_at_wall() == 0.0 and clock.wall.shift == pytest.approx(step, abs=0.5)
+    assert clock.wall_clock_step() == 0.0 and clock.wall.shift == pytest.approx(step, abs=0.5)
 
 
 def test_phases_only_advance() -> None:
@@ -305,7 +305,7 @@
     log = Log("n0", 2.0, stream)
     for number in range(50):
         log.say(f"line {number}\nmore")
-    log.room = 1.0
+    log.tokens = 1.0
     log.say("last")
     lines = stream.getvalue().splitlines()
     assert lines[0] == "n0: line 0 more" and len(lines) < 6 and "lines left out" in lines[-1]
@@ -354,13 +354,13 @@
 def test_a_faulty_configuration_names_its_key(key: str, changes: dict[str, object]) -> None:
     given: dict[str, object] = {"name": "n", "listen": "1.2.3.4:1", "discovery": "1.2.3.4:2", "seed": "ff"}
     given |= {"settings": settings()} | changes
-    with pytest.raises(Faulty) as error:
-        deployment_of(given, {})
+    with pytest.raises(ConfigurationError) as error:
+        parse_deployment(given, {})
     assert key in str(error.value) and "\n" not in str(error.value)
 
 
 def test_environment_variables_and_defaults_replace_missing_keys() -> None:
-    deployment = deployment_of(
+    deployment = parse_deployment(
         {"seed": "0f", "settings": settings()},
         {"LB_NAME": "n3", "LB_LISTEN": "1.2.3.4:5", "LB_DISCOVERY": "1.2.3.4:6"},
     )
@@ -381,7 +381,7 @@
 
 @pytest.mark.parametrize("environment", [{}, {"LB_CONFIG": "/nowhere/at/all"}, {"LB_CONFIG": __file__}])
 def test_an_unreadable_configuration_is_reported(environment: dict[str, str]) -> None:
-    with pytest.raises(Faulty, match="LB_CONFIG"):
+    with pytest.raises(ConfigurationError, match="LB_CONFIG"):
         read_deployment(environment)
 
 
@@ -397,7 +397,7 @@
 )
 def test_malformed_lists_of_discovery_are_rejected(body: str) -> None:
     with pytest.raises(Malformed):
-        page(json.loads(body))
+        parse_page(json.loads(body))
 
 
 def presences(dispatcher: Dispatcher) -> dict[str, str]:
@@ -410,10 +410,10 @@
     dispatcher.timers = dispatcher.counter = others = Mock()
     dispatcher.fleet, dispatcher.shown = others, {}
     rows = [{"name": name, "address": "127.0.0.1:9", "group": 0, "status": "SERVING"} for name in ("s", "t")]
-    dispatcher.listed(page({"index": 1, "endpoints": rows})[2], True)
+    dispatcher.listed(parse_page({"index": 1, "endpoints": rows})[2], True)
     dispatcher.take_out(frozenset({"s", "unlisted"}))
     assert presences(dispatcher) == {"s": "draining", "t": "on"}
-    dispatcher.listed(page({"index": 2, "endpoints": rows})[2], True)  # discovery lists it as on again
+    dispatcher.listed(parse_page({"index": 2, "endpoints": rows})[2], True)  # discovery lists it as on again
     assert presences(dispatcher) == {"s": "draining", "t": "on"}
     dispatcher.take_out(frozenset())
     assert presences(dispatcher) == {"s": "on", "t": "on"}
@@ -430,7 +430,9 @@
     dispatcher.right.may_take.return_value = True
     dispatcher.right.may_send.return_value = False
     dispatcher.listed(
-        page({"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]})[2],
+        parse_page({"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]})[
+            2
+        ],
         True,
     )
     request = taken(said())
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -17,7 +17,7 @@
 from merlintally.lab.schedules.subset_room import Case, Play
 from merlintally.lab.schedules.subsets import joined, play
 from merlintally.net import EdgeNode
-from merlintally.net.configuration import Listed
+from merlintally.net.configuration import ListedServer
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.roster import subset_of
@@ -48,7 +48,7 @@
     ]
 
 
-def names(rows: Sequence[Entry | Listed]) -> set[str]:
+def names(rows: Sequence[Entry | ListedServer]) -> set[str]:
     return {row.facts.server for row in rows}
 
 
@@ -296,7 +296,7 @@
     made = Dispatcher(replace(deployment, facts=facts), Clock(), Log("n", 9.0))
     made.fleet = FleetStandin()  # type: ignore[assignment]
     made.shown = {} if shown else None
-    made.listed([Listed(*entry) for entry in entries(count)], True)
+    made.listed([ListedServer(*entry) for entry in entries(count)], True)
     return made
 
 
@@ -306,7 +306,7 @@
     def __init__(self) -> None:
         self.told = list[tuple[set[str], bool]]()
 
-    def roster(self, rows: Sequence[Listed], complete: bool) -> None:
+    def update_servers(self, rows: Sequence[ListedServer], complete: bool) -> None:
         self.told.append((names(rows), complete))
 
 
@@ -340,12 +340,12 @@
     assert made.subset is not None
     inside, now = members(made.subset), made.clock.now()
     made.listed(
-        [Listed(*changed(one, "draining")) for one in entries(60) if one.facts.server in inside], False
+        [ListedServer(*changed(one, "draining")) for one in entries(60) if one.facts.server in inside], False
     )
     grown = set(made.gateway.servers)
     busy = made.gateway.servers[min(grown - inside)]
     busy.out[1, 0] = (now, next(iter(made.gateway.lanes.values())), 1.0)
-    made.listed([Listed(*one) for one in entries(60) if one.facts.server in inside], False)
+    made.listed([ListedServer(*one) for one in entries(60) if one.facts.server in inside], False)
     assert set(made.gateway.servers) == grown
     made.subset._shrinks_at = now
     made._fit_subset()
