--- a/merlintally/cluster/agreement/log.py
+++ b/merlintally/cluster/agreement/log.py
@@ -7,7 +7,10 @@
 
 import msgspec
 
-DATA, CONFIG, BLANK = 0, 1, 2  # kinds of entries: the user's, who votes, a leader's first
+# Kinds of entries.
+DATA = 0  # the user's
+CONFIG = 1  # who votes
+BLANK = 2  # a leader's first
 
 
 class Entry(NamedTuple):
--- a/merlintally/cluster/core.py
+++ b/merlintally/cluster/core.py
@@ -40,7 +40,9 @@
     "w.answer": tuple[str, bool, str],  # id, whether, text
 }
 STREAMED = ("r.", "w.", "c.", "m.state")  # over a stream; all else is a datagram
-COMPACT_AFTER, MOST_ENTRIES, MOST_WAITING = 500, 200, 1024
+COMPACT_AFTER = 500
+MOST_ENTRIES = 200
+MOST_WAITING = 1024
 STEP_S = 0.1
 
 
--- a/merlintally/cluster/links.py
+++ b/merlintally/cluster/links.py
@@ -26,9 +26,14 @@
 from merlintally.net.log import Log
 
 FORM = 1  # of frames and datagrams
-CODE, MOST_HELLO, MOST_FRAME, MOST_DATAGRAM = 16, 512, 8 << 20, 1400
+CODE = 16  # bytes
+MOST_HELLO = 512
+MOST_FRAME = 8 << 20
+MOST_DATAGRAM = 1400
 QUEUE = 512  # frames that wait for one node
-AGAIN_S, AGAIN_MOST_S, PATIENCE_S = 0.05, 1.0, 5.0
+AGAIN_S = 0.05
+AGAIN_MOST_S = 1.0
+PATIENCE_S = 5.0
 # how a connection ends
 ENDED = (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 SAID_S = 5.0  # between lines about frames that were dropped
--- a/merlintally/cluster/members/core.py
+++ b/merlintally/cluster/members/core.py
@@ -14,7 +14,11 @@
 from random import Random
 from typing import Any, NamedTuple
 
-ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3  # states; of the same incarnation the higher one holds
+# States; of the same incarnation the higher one holds.
+ALIVE = 0
+SUSPECT = 1
+DEAD = 2
+LEFT = 3
 STATES = ("alive", "suspect", "dead", "left")
 START = 1 << 20  # by which each start of a node raises its incarnation
 News = tuple[str, int, int, str, str]  # name, state, incarnation, address, who suspects it
--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -36,11 +36,17 @@
 from merlintally.notes import told, unpack
 from merlintally.operators import ClusterPart
 
-QUEUE, AGAIN_S, RATE_S, CLIENT_S = 4096, 1.0, 2.0, 10.0
-OPEN_TRIES, OPEN_PAUSE_S = 20, 0.2  # of the folder at a start
+QUEUE = 4096
+AGAIN_S = 1.0
+RATE_S = 2.0
+CLIENT_S = 10.0
+OPEN_TRIES = 20  # of the folder at a start
+OPEN_PAUSE_S = 0.2
 PASSING = frozenset({errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.EINTR, errno.ENFILE, errno.EMFILE})
-KEEP_S, HEARD_S = 5.0, 0.4  # between copies on disk; between words to the decisions that all is heard
-MOST_NOTES, MOST_DRAWN = 1024, 500.0  # notes that wait; units of a customer told on at once
+KEEP_S = 5.0  # between copies on disk
+HEARD_S = 0.4  # between words to the decisions that all is heard
+MOST_NOTES = 1024  # that wait
+MOST_DRAWN = 500.0  # units of a customer told on at once
 
 
 def plan_of(part: ClusterPart) -> Plan:
