--- a/merlintally/cluster/agreement/__init__.py
+++ b/merlintally/cluster/agreement/__init__.py
@@ -1,4 +1,4 @@
-"""The log that a majority holds (Raft), without input or output: see docs/agreement.md."""
+"""The replicated log (Raft), without input or output: see docs/agreement.md."""
 
 from merlintally.cluster.agreement.core import FORMS, MISTAKES, Pace, Raft, Results
 from merlintally.cluster.agreement.log import Config, Entry, Kept, Snapshot
--- a/merlintally/cluster/agreement/core.py
+++ b/merlintally/cluster/agreement/core.py
@@ -1,9 +1,9 @@
-"""Raft, as a core that takes events and gives results: no clock, socket, file or thread.
+"""Raft consensus as a pure state machine, without clock, sockets, files or threads.
 
-Events are calls: `hear` (a message), `wake` (time has passed), `synced` (what was to be persisted is on
-disk), `propose`, `read`, `change`, `transfer`, `compact`. What it wants done is taken with `take_results`:
-messages to send, records to persist in their order, entries to apply. A message is the name of a call of the
-receiver's and its arguments, `FORMS` has their types; there are no types of messages.
+Inputs are method calls: `hear` (a message was received), `wake` (time has passed), `synced` (rows are on
+disk), `propose`, `read`, `change`, `transfer` and `compact`. Outputs are collected with `take_results`:
+messages to send, rows to persist in order, and committed entries to apply. A message is the name of the
+handler it invokes on the receiver and its arguments, whose types are in `FORMS`.
 """
 
 from __future__ import annotations
@@ -15,32 +15,34 @@
 from typing import Any, NamedTuple
 
 from merlintally.cluster.agreement.log import (
-    BLANK,
     CONFIG,
     DATA,
+    NOOP,
     Config,
     Entry,
     Kept,
     Log,
     Snapshot,
-    config_of,
+    decode_config,
 )
 
-FORMS: dict[str, Any] = {  # call -> types of its arguments, of which the first is the sender's term
-    "asked": tuple[int, bool, bool, int, int],  # term, only a question ahead, forced, last index, its term
-    "voted": tuple[int, bool, bool, int],  # term, only ahead, granted, the term that was asked for
+# Message name -> types of its arguments; the first is always the sender's term.
+FORMS: dict[str, Any] = {
+    "asked": tuple[int, bool, bool, int, int],  # term, pre-vote, forced, last log index, last log term
+    "voted": tuple[int, bool, bool, int],  # term, pre-vote, granted, requested term
     "append": tuple[
         int, int, int, list[Entry], int, int
-    ],  # term, index and term before, entries, commit, round
-    "took": tuple[int, bool, int, int],  # term, whether, how far (or a hint at where they part), round
+    ],  # term, previous index, previous term, entries, commit index, heartbeat round
+    "took": tuple[int, bool, int, int],  # term, success, match index (or conflict hint), heartbeat round
     "piece": tuple[
         int, int, int, Config, int, int, bytes
-    ],  # term, index, its term, config, offset, size, bytes
-    "pieced": tuple[int, int, int],  # term, index, bytes held
-    "begin": tuple[int],  # term: stand for election at once
+    ],  # term, snapshot index, snapshot term, config, offset, total size, data
+    "pieced": tuple[int, int, int],  # term, snapshot index, bytes received
+    "begin": tuple[int],  # term; start an election at once (TimeoutNow)
 }
 
-MISTAKES = (  # planted by name, in tests only: each has to be found by the schedules
+
+MISTAKES = (  # faults that tests inject by name; the schedules must detect each of them
     "votes twice",
     "forgets its vote",
     "commits an older term by count",
@@ -59,116 +61,143 @@
 
 
 class Pace(NamedTuple):
-    """Times in seconds, sizes in bytes. Elections begin after `election_s` to twice of it without a
-    leader."""
+    """Timing in seconds and sizes in bytes.
+
+    The election timeout is drawn uniformly from `election_s` to twice that.
+    """
 
     heartbeat_s: float = 0.1
     election_s: float = 0.5
-    batch: int = 64 << 10  # of entries in one message
-    flight: int = 8  # messages with entries that are out to one voter at once
-    chunk: int = 32 << 10  # of a snapshot in one message
-    pending: int = 4096  # entries not yet committed, beyond which nothing more is taken
+    batch: int = 64 << 10  # entry bytes in one append message
+    flight: int = 8  # unacknowledged append messages to one peer
+    chunk: int = 32 << 10  # snapshot bytes in one message
+    pending: int = 4096  # uncommitted entries beyond which proposals are rejected
 
 
 @dataclass(slots=True)
 class Results:
-    """What the core wants done. `persist` rows go to disk in their order, then `synced(number)` is called:
-    ("vote", term, vote), ("cut", index), ("add", first index, entries), ("snapshot", Snapshot)."""
+    """Outputs of the core since the last call of `take_results`.
+
+    The rows of `persist` must be written in order, after which `synced(number)` is called. A row is
+    ("vote", term, vote), ("cut", index), ("add", first index, entries) or ("snapshot", Snapshot).
+    """
 
     persist: list[tuple[Any, ...]] = field(default_factory=list)
-    number: int = 0  # of the last row of `persist`
-    sends: list[tuple[str, str, tuple[Any, ...]]] = field(default_factory=list)  # to, call, arguments
-    restored: Snapshot | None = None  # the state to begin from, before `applied`
-    applied: list[tuple[int, Entry]] = field(default_factory=list)
-    reads: list[tuple[Any, int]] = field(default_factory=list)  # token, index that has to be applied before
-    refused: list[Any] = field(default_factory=list)  # tokens of reads that can't be answered here
+    number: int = 0  # sequence number of the last row of `persist`
+    sends: list[tuple[str, str, tuple[Any, ...]]] = field(
+        default_factory=list
+    )  # receiver, message, arguments
+    restored: Snapshot | None = None  # replaces the state before `applied` is applied
+    applied: list[tuple[int, Entry]] = field(default_factory=list)  # index, committed entry
+    reads: list[tuple[Any, int]] = field(default_factory=list)  # token, index to apply before answering
+    refused: list[Any] = field(default_factory=list)  # tokens of reads that this node can't serve
     wake_at: float = 0.0
 
 
 class Peer:
-    """What a leader knows of another."""
+    """Replication progress of one other node, as tracked by the leader."""
 
-    __slots__ = ("next", "match", "flying", "probing", "sent", "heard_at", "round")
+    __slots__ = (
+        "next_index",
+        "match_index",
+        "in_flight",
+        "probing",
+        "snapshot_offset",
+        "last_contact_at",
+        "acked_round",
+    )
 
-    def __init__(self, next_: int, now: float) -> None:
-        self.next, self.match, self.heard_at, self.round = next_, 0, now, 0
-        self.flying: deque[int] = deque()  # last indices of messages that are out
-        self.probing = True  # one message at a time, until it is known where the logs meet
-        self.sent = -1  # bytes of the snapshot that it has; -1: none is under way
+    def __init__(self, first_index: int, now: float) -> None:
+        self.next_index, self.match_index, self.last_contact_at, self.acked_round = first_index, 0, now, 0
+        self.in_flight: deque[int] = deque()  # last index of each unacknowledged append message
+        self.probing = True  # one append per heartbeat until the matching index is known
+        self.snapshot_offset = -1  # snapshot bytes acknowledged; -1 if none is being sent
 
 
 class Raft:
-    """One voter or learner. `role` is follower, asking (would stand), candidate or leader."""
+    """One voter or learner. `role` is follower, asking (pre-candidate), candidate or leader."""
 
     def __init__(
         self,
         name: str,
-        kept: Kept,
+        stored: Kept,
         config: Config,
-        pace: Pace,
+        settings: Pace,
         random: Random,
         now: float,
         blank: bool = False,
         mistakes: frozenset[str] = frozenset(),
     ) -> None:
-        """`config` says who votes where nothing is kept yet; it has to be the same for all of them. `blank`:
-        it has lost what it promised before (an empty or older folder), and votes only once it was voted out
-        and is in again."""
-        self.name, self.pace, self.random, self.blank, self.mistakes = name, pace, random, blank, mistakes
-        self.term, self.vote = kept.term, kept.vote
-        if not kept.snapshot.config.voters:
-            kept.snapshot = kept.snapshot._replace(config=config)
-        self.log = Log(kept)
-        self.commit = self.applied = kept.snapshot.upto
-        self.configs = [(kept.snapshot.upto, kept.snapshot.config)]
-        for at, entry in enumerate(kept.entries, kept.snapshot.upto + 1):
+        """`config` is the initial configuration, used where `stored` has none; it must be the same on all
+        nodes. `blank` marks a node that has lost its persistent state (an empty or outdated folder): it does
+        not vote until it has been removed from the voters and added again."""
+        self.name, self.settings, self.random, self.blank, self.mistakes = (
+            name,
+            settings,
+            random,
+            blank,
+            mistakes,
+        )
+        self.term, self.vote = stored.term, stored.vote
+        if not stored.snapshot.config.voters:
+            stored.snapshot = stored.snapshot._replace(config=config)
+        self.log = Log(stored)
+        self.commit = self.applied = stored.snapshot.upto
+        self.configs = [(stored.snapshot.upto, stored.snapshot.config)]
+        for index, entry in enumerate(stored.entries, stored.snapshot.upto + 1):
             if entry.kind == CONFIG:
-                self.configs.append((at, config_of(entry.data)))
+                self.configs.append((index, decode_config(entry.data)))
         self.role, self.leader, self.now = "follower", "", now
-        self.able = True  # to lead: its disk takes what it is given
+        self.can_lead = True  # False while the disk accepts no writes
         self.peers: dict[str, Peer] = {}
         self.votes: set[str] = set()
-        self.round = 0  # of messages to all, for reads
-        self.waiting: list[tuple[int, int, Any]] = []  # reads: round, index, token
-        self.successor = ""  # to whom leadership goes
-        self.successor_until = 0.0
-        self.pieces: tuple[int, int, bytearray] | None = None  # of a snapshot that comes: index, term, bytes
-        self.persisted = self.on_disk = 0  # rows given and rows known to be on disk
-        self.unsynced: deque[list[int]] = deque()  # [row, last index of the log behind it]
+        self.round = 0  # heartbeat rounds, which confirm leadership for reads
+        self.pending_reads: list[tuple[int, int, Any]] = []  # round, index, token
+        self.transfer_target = ""  # receiver of a leadership transfer in progress
+        self.transfer_deadline = 0.0
+        self.incoming_snapshot: tuple[int, int, bytearray] | None = None  # index, term, bytes received
+        self.rows_emitted = self.rows_synced = 0  # sequence numbers of rows persisted and known to be on disk
+        self.unsynced_rows: deque[list[int]] = deque()  # [row number, last log index after it]
         self.synced_index = self.log.last
-        self.held: deque[tuple[int, str, str, tuple[Any, ...]]] = deque()  # sends that wait for a row
+        # Messages to be sent once a row is on disk: row number, receiver, message, arguments.
+        self.held_sends: deque[tuple[int, str, str, tuple[Any, ...]]] = deque()
         self.results = Results()
-        self.heard_at = now - pace.election_s  # a leader, last
-        self.beat_at = 0.0
-        self._rest()
+        self.leader_contact_at = now - settings.election_s
+        self.heartbeat_at = 0.0
+        self._reset_election_timer()
 
-    # What others ask of it.
+    # Public interface.
 
     @property
     def config(self) -> Config:
+        """The latest configuration in the log, committed or not."""
         return self.configs[-1][1]
 
     def take_results(self) -> Results:
-        """What is wanted since the last call; send what may be sent at once, the rest comes once it is
-        synced."""
+        """Outputs since the last call. Messages that depend on unsynced rows follow after `synced`."""
         if self.role == "leader":
             self._send_entries()
         self._apply()
-        found, self.results = self.results, Results()
-        found.number = self.persisted
-        found.wake_at = self.beat_at if self.role == "leader" else self.election_at
-        return found
+        output, self.results = self.results, Results()
+        output.number = self.rows_emitted
+        output.wake_at = self.heartbeat_at if self.role == "leader" else self.election_at
+        return output
 
     def propose(self, now: float, data: bytes) -> int:
-        """The index that the entry will have if it is committed in this term, or 0: ask the leader, or
-        later."""
+        """Append an entry; returns its index, or 0 if this node is not the leader, is transferring
+        leadership, or has too many uncommitted entries. The entry may still be lost with this term."""
         self.now = now
-        if self.role != "leader" or self.successor or self.log.last - self.commit >= self.pace.pending:
+        if (
+            self.role != "leader"
+            or self.transfer_target
+            or self.log.last - self.commit >= self.settings.pending
+        ):
             return 0
-        return self._add(Entry(self.term, DATA, data))
+        return self._append_entry(Entry(self.term, DATA, data))
 
     def read(self, now: float, token: Any) -> None:
-        """Answered by `reads` once this is known to be the leader still, or by `refused`."""
+        """Linearizable read: `reads` reports the token after a heartbeat round confirms leadership,
+        `refused` if this node can't serve it."""
         self.now = now
         if self.role != "leader" or self.log.term_at(self.commit) != self.term:
             self.results.refused.append(token)
@@ -176,174 +205,193 @@
             self.results.reads.append((token, self.commit))
         else:
             self.round += 1
-            self.waiting.append((self.round, self.commit, token))
-            self._beat()
+            self.pending_reads.append((self.round, self.commit, token))
+            self._send_heartbeats()
             self._answer_reads()
 
     def change(self, now: float, config: Config) -> bool:
-        """Have others vote or follow, one voter's difference at a time; False where it can't be begun now."""
+        """Propose a new configuration, which may add or remove one voter; False if not possible now."""
         self.now = now
-        one = len(set(config.voters) ^ set(self.config.voters)) <= 1
+        single_change = len(set(config.voters) ^ set(self.config.voters)) <= 1
         settled = self.configs[-1][0] <= self.commit and self.log.term_at(self.commit) == self.term
         if "two changes at once" in self.mistakes:
-            one = settled = True
+            single_change = settled = True
         caught_up = all(
             name == self.name
             or name in self.peers
-            and self.peers[name].match + self.pace.flight >= self.commit
+            and self.peers[name].match_index + self.settings.flight >= self.commit
             for name in set(config.voters) - set(self.config.voters)
         )
-        if self.role != "leader" or self.successor or not (one and settled and caught_up and config.voters):
+        if (
+            self.role != "leader"
+            or self.transfer_target
+            or not (single_change and settled and caught_up and config.voters)
+        ):
             return False
-        self._add(Entry(self.term, CONFIG, config.encode()))
+        self._append_entry(Entry(self.term, CONFIG, config.encode()))
         return True
 
     def forget(self, name: str) -> None:
-        """One has begun anew with less than it had: what it told before does not count."""
+        """Discard the replication progress of a peer that has lost its log."""
         self.peers.pop(name, None)
 
     def transfer(self, now: float, to: str) -> bool:
-        """Hand leadership on; nothing is taken meanwhile, for one election's time at the most."""
+        """Transfer leadership; no proposals are accepted meanwhile, for at most one election timeout."""
         self.now = now
         if self.role != "leader" or to not in self.config.voters or to == self.name:
             return False
-        self.successor, self.successor_until = to, now + self.pace.election_s
-        self._hand_on()
+        self.transfer_target, self.transfer_deadline = to, now + self.settings.election_s
+        self._complete_transfer()
         return True
 
     def compact(self, now: float, data: bytes) -> None:
-        """All up to what is applied is in `data`; its entries can go."""
+        """Replace the log up to the applied index with a snapshot whose state is `data`."""
         self.now = now
         if self.applied > self.log.snapshot.upto:
             index = self.applied
-            config = [config for at, config in self.configs if at <= index][-1]
-            self._reach(Snapshot(index, self.log.term_at(index) or 0, config, data))
+            config = [config for since, config in self.configs if since <= index][-1]
+            self._install_snapshot(Snapshot(index, self.log.term_at(index) or 0, config, data))
 
     def synced(self, now: float, number: int) -> None:
-        """All rows up to `number` are on disk."""
-        self.now, self.on_disk = now, number
-        while self.unsynced and self.unsynced[0][0] <= number:
-            self.synced_index = min(self.unsynced.popleft()[1], self.log.last)
-        while self.held and self.held[0][0] <= number:
-            _, to, call, args = self.held.popleft()
+        """All rows up to sequence number `number` are on disk."""
+        self.now, self.rows_synced = now, number
+        while self.unsynced_rows and self.unsynced_rows[0][0] <= number:
+            self.synced_index = min(self.unsynced_rows.popleft()[1], self.log.last)
+        while self.held_sends and self.held_sends[0][0] <= number:
+            _, to, call, args = self.held_sends.popleft()
             self.results.sends.append((to, call, args))
         if self.role == "leader":
-            self._count()
-        elif self.role == "candidate" and self._majority(self.votes):
-            self._won(ahead=False)  # it votes alone
+            self._advance_commit_index()
+        elif self.role == "candidate" and self._is_majority(self.votes):
+            self._election_won(pre_vote=False)  # a single voter
 
     def wake(self, now: float) -> None:
-        """Time has passed; call it at `wake_at` or later."""
+        """Handle expired timers; to be called at `wake_at` or later."""
         self.now = now
         if self.role == "leader":
-            if self.successor and now >= self.successor_until:
-                self.successor = ""  # it did not come about; this one goes on
-            if now >= self.beat_at:
+            if self.transfer_target and now >= self.transfer_deadline:
+                self.transfer_target = ""  # the transfer timed out
+            if now >= self.heartbeat_at:
                 self._check_quorum()
-            if self.role == "leader" and now >= self.beat_at:
-                self._beat()
+            if self.role == "leader" and now >= self.heartbeat_at:
+                self._send_heartbeats()
         elif now >= self.election_at:
-            self._rest()
-            if self.name in self.config.voters and self.able and not self.blank:
-                self._stand(ahead=True)
+            self._reset_election_timer()
+            if self.name in self.config.voters and self.can_lead and not self.blank:
+                self._start_election(pre_vote=True)
 
     def hear(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
-        """A message. Whoever does not belong is not heard, but for one that may have been added meanwhile."""
+        """Handle a message. Senders outside the configuration are accepted: they may have been added by an
+        entry that this node does not have yet."""
         self.now = now
         term = args[0]
         if term > self.term and call != "asked":
-            self._follow(term)
+            self._become_follower(term)
         getattr(self, f"_{call}")(sender, *args)
 
     # Elections.
 
-    def _rest(self) -> None:
-        self.election_at = self.now + self.pace.election_s * (1 + self.random.random())
+    def _reset_election_timer(self) -> None:
+        self.election_at = self.now + self.settings.election_s * (1 + self.random.random())
 
-    def _follow(self, term: int, leader: str = "") -> None:
+    def _become_follower(self, term: int, leader: str = "") -> None:
         if term > self.term:
             self.term, self.vote = term, ""
             self._persist(("vote", self.term, self.vote))
         if self.role == "leader":
-            self.results.refused += [token for _, _, token in self.waiting]
-            self.waiting, self.successor = [], ""
-            self.heard_at = self.now - self.pace.election_s
+            self.results.refused += [token for _, _, token in self.pending_reads]
+            self.pending_reads, self.transfer_target = [], ""
+            self.leader_contact_at = self.now - self.settings.election_s
         if self.role != "follower" or leader != self.leader:
-            self._rest()
+            self._reset_election_timer()
         self.role, self.leader = "follower", leader
 
-    def _stand(self, ahead: bool, forced: bool = False) -> None:
-        """Ask for votes; first whether they would be given (pre-vote), so that no term rises in vain."""
-        self.role, self.leader, self.votes = "asking" if ahead else "candidate", "", {self.name}
-        if not ahead:
+    def _start_election(self, pre_vote: bool, forced: bool = False) -> None:
+        """Request votes. A pre-vote round comes first, so that the term only rises if the election can be
+        won."""
+        self.role, self.leader, self.votes = "asking" if pre_vote else "candidate", "", {self.name}
+        if not pre_vote:
             self.term, self.vote = self.term + 1, self.name
             self._persist(("vote", self.term, self.vote))
-        if ahead and self._majority(self.votes):
-            self._won(ahead)
+        if pre_vote and self._is_majority(self.votes):
+            self._election_won(pre_vote)
             return
         for name in self.config.voters:
             if name != self.name:
-                args = (self.term + ahead, ahead, forced, self.log.last, self.log.last_term)
-                self._send(name, "asked", args, durable=not ahead)
-
-    def _asked(self, sender: str, term: int, ahead: bool, forced: bool, last: int, last_term: int) -> None:
-        if not forced and (self.role == "leader" or self.now - self.heard_at < self.pace.election_s):
-            return  # a leader stands: who has lost sight of it can't unseat it (check-quorum's other half)
-        if term > self.term and not ahead:
-            self._follow(term)
-        longer = (last_term, last) >= (
+                args = (self.term + pre_vote, pre_vote, forced, self.log.last, self.log.last_term)
+                self._send(name, "asked", args, durable=not pre_vote)
+
+    def _asked(
+        self, sender: str, term: int, pre_vote: bool, forced: bool, last_index: int, last_term: int
+    ) -> None:
+        if not forced and (
+            self.role == "leader" or self.now - self.leader_contact_at < self.settings.election_s
+        ):
+            return  # a leader is active: a node that lost contact to it must not disrupt it
+        if term > self.term and not pre_vote:
+            self._become_follower(term)
+        up_to_date = (last_term, last_index) >= (
             self.log.last_term,
             self.log.last,
         ) or "votes for a shorter log" in self.mistakes
-        free = self.vote in ("", sender) or "votes twice" in self.mistakes
-        granted = term >= self.term and longer and (term > self.term if ahead else free) and not self.blank
-        if granted and not ahead:
+        can_vote = self.vote in ("", sender) or "votes twice" in self.mistakes
+        granted = (
+            term >= self.term
+            and up_to_date
+            and (term > self.term if pre_vote else can_vote)
+            and not self.blank
+        )
+        if granted and not pre_vote:
             self.vote = sender
             if "forgets its vote" not in self.mistakes:
                 self._persist(("vote", self.term, self.vote))
-            self._rest()
-        self._send(sender, "voted", (self.term, ahead, granted, term), durable=True)
+            self._reset_election_timer()
+        self._send(sender, "voted", (self.term, pre_vote, granted, term), durable=True)
 
-    def _voted(self, sender: str, term: int, ahead: bool, granted: bool, asked: int) -> None:
-        mine = self.role == ("asking" if ahead else "candidate") and asked == self.term + ahead
-        if granted and mine and sender in self.config.voters:
+    def _voted(self, sender: str, term: int, pre_vote: bool, granted: bool, requested_term: int) -> None:
+        current = (
+            self.role == ("asking" if pre_vote else "candidate") and requested_term == self.term + pre_vote
+        )
+        if granted and current and sender in self.config.voters:
             self.votes.add(sender)
-            if self._majority(self.votes):
-                self._won(ahead)
+            if self._is_majority(self.votes):
+                self._election_won(pre_vote)
 
-    def _won(self, ahead: bool) -> None:
-        if ahead:
-            self._stand(ahead=False)
+    def _election_won(self, pre_vote: bool) -> None:
+        if pre_vote:
+            self._start_election(pre_vote=False)
             return
         self.role, self.leader, self.peers = "leader", self.name, {}
-        self.successor, self.waiting = "", []
-        self._add(Entry(self.term, BLANK, b""))
-        self._beat()
+        self.transfer_target, self.pending_reads = "", []
+        self._append_entry(Entry(self.term, NOOP, b""))
+        self._send_heartbeats()
 
     def _begin(self, sender: str, term: int) -> None:
-        """The leader hands on."""
+        """TimeoutNow: the leader transfers leadership to this node."""
         if (
             term == self.term
             and self.name in self.config.voters
             and self.role == "follower"
             and not self.blank
         ):
-            self._stand(ahead=False, forced=True)
+            self._start_election(pre_vote=False, forced=True)
 
-    def _hand_on(self) -> None:
-        peer = self.peers.get(self.successor)
-        if peer is not None and peer.match == self.log.last:
-            self._send(self.successor, "begin", (self.term,))
+    def _complete_transfer(self) -> None:
+        peer = self.peers.get(self.transfer_target)
+        if peer is not None and peer.match_index == self.log.last:
+            self._send(self.transfer_target, "begin", (self.term,))
 
     def _check_quorum(self) -> None:
-        """A leader whom no majority has answered for an election's time steps back."""
-        near = {
-            name for name, peer in self.peers.items() if self.now - peer.heard_at < 2 * self.pace.election_s
+        """Step down if no majority has responded within two election timeouts."""
+        reachable = {
+            name
+            for name, peer in self.peers.items()
+            if self.now - peer.last_contact_at < 2 * self.settings.election_s
         }
-        if not self._majority(near | {self.name}):
-            self._follow(self.term)
+        if not self._is_majority(reachable | {self.name}):
+            self._become_follower(self.term)
 
-    def _majority(self, names: Iterable[str]) -> bool:
+    def _is_majority(self, names: Iterable[str]) -> bool:
         voters = set(self.config.voters)
         counted = len(
             (set(self.config.all) if "learner counts as a voter" in self.mistakes else voters) & set(names)
@@ -354,26 +402,28 @@
 
     # Entries, on the leader.
 
-    def _add(self, entry: Entry) -> int:
+    def _append_entry(self, entry: Entry) -> int:
         self.log.entries.append(entry)
         index = self.log.last
         self._persist(("add", index, [entry]))
         if entry.kind == CONFIG:
-            self.configs.append((index, config_of(entry.data)))
+            self.configs.append((index, decode_config(entry.data)))
         return index
 
-    def _beat(self) -> None:
-        self.beat_at = self.now + self.pace.heartbeat_s
-        self._meet()
+    def _send_heartbeats(self) -> None:
+        self.heartbeat_at = self.now + self.settings.heartbeat_s
+        self._update_peers()
         for name, peer in self.peers.items():
-            if peer.sent >= 0:
-                self._send_piece(name, peer)
+            if peer.snapshot_offset >= 0:
+                self._send_snapshot_chunk(name, peer)
             else:
-                entries = self.log.after(peer.next - 1, self.pace.batch) if peer.probing else []
+                entries = (
+                    self.log.entries_after(peer.next_index - 1, self.settings.batch) if peer.probing else []
+                )
                 self._send_append(name, peer, entries)
-        self._count()
+        self._advance_commit_index()
 
-    def _meet(self) -> None:
+    def _update_peers(self) -> None:
         for name in self.config.all:
             if name != self.name and name not in self.peers:
                 self.peers[name] = Peer(self.log.last + 1, self.now)
@@ -381,171 +431,191 @@
             del self.peers[name]
 
     def _send_entries(self) -> None:
-        """All that came in since: one batch to each, and no more of them out than its flow allows."""
-        self._meet()
+        """Send new entries to each peer up to its in-flight limit."""
+        self._update_peers()
         for name, peer in self.peers.items():
             while (
                 not peer.probing
-                and peer.sent < 0
-                and peer.next <= self.log.last
-                and len(peer.flying) < self.pace.flight
+                and peer.snapshot_offset < 0
+                and peer.next_index <= self.log.last
+                and len(peer.in_flight) < self.settings.flight
             ):
-                self._send_append(name, peer, self.log.after(peer.next - 1, self.pace.batch))
+                self._send_append(
+                    name, peer, self.log.entries_after(peer.next_index - 1, self.settings.batch)
+                )
 
     def _send_append(self, name: str, peer: Peer, entries: list[Entry]) -> None:
-        before = self.log.term_at(peer.next - 1)
-        if before is None:
-            peer.sent = 0  # it needs what is in the snapshot
-            self._send_piece(name, peer)
+        prev_term = self.log.term_at(peer.next_index - 1)
+        if prev_term is None:
+            peer.snapshot_offset = 0  # the entries it needs were compacted
+            self._send_snapshot_chunk(name, peer)
             return
-        args = (self.term, peer.next - 1, before, entries, self.commit, self.round)
+        args = (self.term, peer.next_index - 1, prev_term, entries, self.commit, self.round)
         self._send(name, "append", args)
         if entries and not peer.probing:
-            peer.next += len(entries)
-            peer.flying.append(peer.next - 1)
+            peer.next_index += len(entries)
+            peer.in_flight.append(peer.next_index - 1)
 
     def _took(self, sender: str, term: int, ok: bool, index: int, round_: int) -> None:
         peer = self.peers.get(sender)
         if self.role != "leader" or term != self.term or peer is None or index > self.log.last:
             return
-        peer.heard_at, peer.round = self.now, max(peer.round, round_)
+        peer.last_contact_at, peer.acked_round = self.now, max(peer.acked_round, round_)
         if ok or "a refusal counts as held" in self.mistakes:
-            peer.match = max(peer.match, index)
-            peer.next = max(peer.next, peer.match + 1)
-            peer.probing, peer.sent = False, -1
-            while peer.flying and peer.flying[0] <= peer.match:
-                peer.flying.popleft()
-            self._count()
-            if sender == self.successor:
-                self._hand_on()
-        elif peer.sent < 0:
-            # Guards against a leader that stands still: a follower goes back over a whole term to where the
-            # logs may part, which can lie before what it has confirmed. From there on they are the same.
-            back = max(peer.match, index) + 1
-            moved = back != peer.next or not peer.probing
-            peer.next, peer.probing = back, True
-            peer.flying.clear()
-            # Guards against a storm: a voter that has lost what it had confirmed refuses the same again and
-            # again, until it is out of the voters; it is asked with the next beat.
+            peer.match_index = max(peer.match_index, index)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+            peer.probing, peer.snapshot_offset = False, -1
+            while peer.in_flight and peer.in_flight[0] <= peer.match_index:
+                peer.in_flight.popleft()
+            self._advance_commit_index()
+            if sender == self.transfer_target:
+                self._complete_transfer()
+        elif peer.snapshot_offset < 0:
+            # The conflict hint skips a whole term and may lie below the match index. The logs agree up to the
+            # match index, so never go back further; otherwise replication could stall.
+            retry_index = max(peer.match_index, index) + 1
+            moved = retry_index != peer.next_index or not peer.probing
+            peer.next_index, peer.probing = retry_index, True
+            peer.in_flight.clear()
+            # A voter that lost entries it had acknowledged rejects the same append repeatedly until it is
+            # removed. Retry with the next heartbeat instead of at once.
             if moved:
                 self._send_append(
                     sender,
                     peer,
-                    self.log.after(peer.next - 1, self.pace.batch)
-                    if self.log.term_at(peer.next - 1) is not None
+                    self.log.entries_after(peer.next_index - 1, self.settings.batch)
+                    if self.log.term_at(peer.next_index - 1) is not None
                     else [],
                 )
         self._answer_reads()
 
-    def _count(self) -> None:
-        """Commit what a majority holds on disk, if it is of this term."""
-        mine = self.log.last if "counts itself before sync" in self.mistakes else self.synced_index
-        held = {name: peer.match for name, peer in self.peers.items()} | {self.name: mine}
-        for index in sorted({at for at in held.values() if at > self.commit}, reverse=True):
-            if self._majority(name for name, at in held.items() if at >= index) and (
+    def _advance_commit_index(self) -> None:
+        """Commit the highest index of the current term that a majority has on disk."""
+        own_index = self.log.last if "counts itself before sync" in self.mistakes else self.synced_index
+        match_indices = {name: peer.match_index for name, peer in self.peers.items()} | {self.name: own_index}
+        for index in sorted({match for match in match_indices.values() if match > self.commit}, reverse=True):
+            if self._is_majority(name for name, match in match_indices.items() if match >= index) and (
                 self.log.term_at(index) == self.term or "commits an older term by count" in self.mistakes
             ):
                 self.commit = index
                 if self.name not in self.config.voters and self.configs[-1][0] <= index:
-                    self._beat_once()
-                    self._follow(self.term)  # it was voted out, and all know
+                    self._send_commit_index()
+                    self._become_follower(self.term)  # removed from the voters, and all peers were informed
                 break
 
-    def _beat_once(self) -> None:
+    def _send_commit_index(self) -> None:
         for name, peer in self.peers.items():
-            if peer.sent < 0:
+            if peer.snapshot_offset < 0:
                 self._send_append(name, peer, [])
 
     def _answer_reads(self) -> None:
-        still = []
-        for round_, index, token in self.waiting:
-            near = {name for name, peer in self.peers.items() if peer.round >= round_}
-            if self._majority(near | {self.name}):
+        remaining = []
+        for round_, index, token in self.pending_reads:
+            acked = {name for name, peer in self.peers.items() if peer.acked_round >= round_}
+            if self._is_majority(acked | {self.name}):
                 self.results.reads.append((token, index))
             else:
-                still.append((round_, index, token))
-        self.waiting = still
+                remaining.append((round_, index, token))
+        self.pending_reads = remaining
 
     # Entries, on a follower.
 
-    def _heard_leader(self, sender: str, term: int) -> None:
+    def _leader_contacted(self, sender: str, term: int) -> None:
         if self.role != "follower" or self.leader != sender:
-            self._follow(term, sender)
-        self.heard_at = self.now
-        self._rest()
+            self._become_follower(term, sender)
+        self.leader_contact_at = self.now
+        self._reset_election_timer()
 
     def _append(
         self,
         sender: str,
         term: int,
-        before: int,
-        before_term: int,
+        prev_index: int,
+        prev_term: int,
         entries: list[Entry],
-        commit: int,
+        leader_commit: int,
         round_: int,
     ) -> None:
         if term < self.term:
-            self._send(sender, "took", (self.term, False, 0, 0))  # which unseats it
+            self._send(sender, "took", (self.term, False, 0, 0))  # makes the stale leader step down
             return
         if self.role == "leader" and term == self.term:
-            return  # nonsense: there is one leader a term
-        self._heard_leader(sender, term)
-        if before < self.commit:  # what is committed is the same everywhere
-            skip = min(self.commit - before, len(entries))
-            before, entries = before + skip, entries[skip:]
-            before_term = self.log.term_at(before) or 0
-            if before < self.log.snapshot.upto:
+            return  # invalid: a term has one leader
+        self._leader_contacted(sender, term)
+        if prev_index < self.commit:  # committed entries are identical on all nodes
+            skip = min(self.commit - prev_index, len(entries))
+            prev_index, entries = prev_index + skip, entries[skip:]
+            prev_term = self.log.term_at(prev_index) or 0
+            if prev_index < self.log.snapshot.upto:
                 self._send(sender, "took", (self.term, True, self.commit, round_), durable=True)
                 return
-        if self.log.term_at(before) != before_term:
-            self._send(sender, "took", (self.term, False, self._parted(before), round_), durable=True)
+        if self.log.term_at(prev_index) != prev_term:
+            self._send(
+                sender, "took", (self.term, False, self._conflict_hint(prev_index), round_), durable=True
+            )
             return
-        for at, entry in enumerate(entries, before + 1):
-            if self.log.term_at(at) != entry.term or "cuts without a conflict" in self.mistakes:
-                if at <= self.log.last:
-                    self._cut(at)
-                more = entries[at - before - 1 :]
-                self.log.entries += more
-                self._persist(("add", at, more))
+        for first, entry in enumerate(entries, prev_index + 1):
+            if self.log.term_at(first) != entry.term or "cuts without a conflict" in self.mistakes:
+                if first <= self.log.last:
+                    self._truncate_log(first)
+                new_entries = entries[first - prev_index - 1 :]
+                self.log.entries += new_entries
+                self._persist(("add", first, new_entries))
                 self.configs += [
-                    (index, config_of(one.data)) for index, one in enumerate(more, at) if one.kind == CONFIG
+                    (index, decode_config(one.data))
+                    for index, one in enumerate(new_entries, first)
+                    if one.kind == CONFIG
                 ]
                 break
-        match = before + len(entries)
-        reached = commit if "commit beyond what is here" in self.mistakes else min(commit, match)
-        self.commit = max(self.commit, min(reached, self.log.last))
+        match_index = prev_index + len(entries)
+        new_commit = (
+            leader_commit
+            if "commit beyond what is here" in self.mistakes
+            else min(leader_commit, match_index)
+        )
+        self.commit = max(self.commit, min(new_commit, self.log.last))
         self._send(
             sender,
             "took",
-            (self.term, True, match, round_),
+            (self.term, True, match_index, round_),
             durable="acknowledges before sync" not in self.mistakes,
         )
 
-    def _parted(self, before: int) -> int:
-        """Where the logs may still be the same: behind all of the term that differs."""
-        if before > self.log.last:
+    def _conflict_hint(self, prev_index: int) -> int:
+        """The last index at which the logs may still match: the one before the conflicting term."""
+        if prev_index > self.log.last:
             return self.log.last
-        term, at = self.log.term_at(before), before
-        while at > self.commit and self.log.term_at(at) == term:
-            at -= 1
-        return at
+        term, index = self.log.term_at(prev_index), prev_index
+        while index > self.commit and self.log.term_at(index) == term:
+            index -= 1
+        return index
 
-    def _cut(self, index: int) -> None:
-        self.log.cut(index)
+    def _truncate_log(self, index: int) -> None:
+        self.log.truncate_from(index)
         self.configs = [one for one in self.configs if one[0] < index]
         self.synced_index = min(self.synced_index, index - 1)
-        for row in self.unsynced:
+        for row in self.unsynced_rows:
             row[1] = min(row[1], index - 1)
         self._persist(("cut", index))
 
-    # Snapshots, in pieces.
+    # Snapshot transfer.
 
-    def _send_piece(self, name: str, peer: Peer) -> None:
-        shot = self.log.snapshot
-        peer.sent = min(peer.sent, len(shot.data))
-        data = shot.data[peer.sent : peer.sent + self.pace.chunk]
+    def _send_snapshot_chunk(self, name: str, peer: Peer) -> None:
+        current = self.log.snapshot
+        peer.snapshot_offset = min(peer.snapshot_offset, len(current.data))
+        data = current.data[peer.snapshot_offset : peer.snapshot_offset + self.settings.chunk]
         self._send(
-            name, "piece", (self.term, shot.upto, shot.term, shot.config, peer.sent, len(shot.data), data)
+            name,
+            "piece",
+            (
+                self.term,
+                current.upto,
+                current.term,
+                current.config,
+                peer.snapshot_offset,
+                len(current.data),
+                data,
+            ),
         )
 
     def _piece(
@@ -553,7 +623,7 @@
         sender: str,
         term: int,
         index: int,
-        shot_term: int,
+        snapshot_term: int,
         config: Config,
         offset: int,
         size: int,
@@ -562,54 +632,56 @@
         if term < self.term:
             self._send(sender, "took", (self.term, False, 0, 0))
             return
-        self._heard_leader(sender, term)
+        self._leader_contacted(sender, term)
         if index <= self.commit:
             self._send(sender, "took", (self.term, True, self.commit, 0), durable=True)
             return
-        if self.pieces is None or self.pieces[:2] != (index, shot_term):
-            self.pieces = (index, shot_term, bytearray())
-        held = self.pieces[2]
-        if offset == len(held) and offset + len(data) <= size:
-            held += data
-        if len(held) < size:
-            self._send(sender, "pieced", (self.term, index, len(held)))
+        if self.incoming_snapshot is None or self.incoming_snapshot[:2] != (index, snapshot_term):
+            self.incoming_snapshot = (index, snapshot_term, bytearray())
+        received = self.incoming_snapshot[2]
+        if offset == len(received) and offset + len(data) <= size:
+            received += data
+        if len(received) < size:
+            self._send(sender, "pieced", (self.term, index, len(received)))
             return
-        self.pieces = None
-        self._reach(Snapshot(index, shot_term, config, bytes(held)))
+        self.incoming_snapshot = None
+        self._install_snapshot(Snapshot(index, snapshot_term, config, bytes(received)))
         self.commit = self.applied = index
         self.results.applied = []
         if "snapshot without its state" not in self.mistakes:
             self.results.restored = self.log.snapshot
         self._send(sender, "took", (self.term, True, index, 0), durable=True)
 
-    def _pieced(self, sender: str, term: int, index: int, held: int) -> None:
+    def _pieced(self, sender: str, term: int, index: int, received: int) -> None:
         peer = self.peers.get(sender)
-        if self.role == "leader" and term == self.term and peer is not None and peer.sent >= 0:
-            peer.heard_at = self.now
-            peer.sent = held if index == self.log.snapshot.upto else 0
-            self._send_piece(sender, peer)
-
-    def _reach(self, shot: Snapshot) -> None:
-        last = self.log.last
-        if "snapshot without its state" in self.mistakes and last > shot.upto:
-            self.log.entries = self.log.entries[shot.upto - self.log.snapshot.upto :]
-            self.log.snapshot = shot
-        elif not self.log.reach(shot) and last > shot.upto:
-            self._cut(shot.upto + 1)
-        self.configs = [(shot.upto, shot.config)] + [one for one in self.configs if one[0] > shot.upto]
-        self._persist(("snapshot", shot))
-
-    # What all stand on.
+        if self.role == "leader" and term == self.term and peer is not None and peer.snapshot_offset >= 0:
+            peer.last_contact_at = self.now
+            peer.snapshot_offset = received if index == self.log.snapshot.upto else 0
+            self._send_snapshot_chunk(sender, peer)
+
+    def _install_snapshot(self, replacement: Snapshot) -> None:
+        last_index = self.log.last
+        if "snapshot without its state" in self.mistakes and last_index > replacement.upto:
+            self.log.entries = self.log.entries[replacement.upto - self.log.snapshot.upto :]
+            self.log.snapshot = replacement
+        elif not self.log.restore_from(replacement) and last_index > replacement.upto:
+            self._truncate_log(replacement.upto + 1)
+        self.configs = [(replacement.upto, replacement.config)] + [
+            one for one in self.configs if one[0] > replacement.upto
+        ]
+        self._persist(("snapshot", replacement))
+
+    # Persistence and message output.
 
     def _persist(self, row: tuple[Any, ...]) -> None:
-        self.persisted += 1
+        self.rows_emitted += 1
         self.results.persist.append(row)
-        self.unsynced.append([self.persisted, self.log.last])
+        self.unsynced_rows.append([self.rows_emitted, self.log.last])
 
     def _send(self, to: str, call: str, args: tuple[Any, ...], durable: bool = False) -> None:
-        """`durable`: it promises what has to be on disk first."""
-        if durable and self.on_disk < self.persisted:
-            self.held.append((self.persisted, to, call, args))
+        """Queue a message; a `durable` one is held until all rows emitted so far are on disk."""
+        if durable and self.rows_synced < self.rows_emitted:
+            self.held_sends.append((self.rows_emitted, to, call, args))
         else:
             self.results.sends.append((to, call, args))
 
@@ -617,6 +689,8 @@
         while self.applied < self.commit:
             self.applied += 1
             entry = self.log.entry(self.applied)
-            if entry.kind == CONFIG and self.name not in config_of(entry.data).voters:
-                self.blank = False  # what it may have promised under its former votes binds nobody any more
+            if entry.kind == CONFIG and self.name not in decode_config(entry.data).voters:
+                self.blank = (
+                    False  # removed from the voters: promises of its former membership no longer bind
+                )
             self.results.applied.append((self.applied, entry))
--- a/merlintally/cluster/agreement/log.py
+++ b/merlintally/cluster/agreement/log.py
@@ -1,4 +1,4 @@
-"""What a voter holds: entries behind a snapshot, and what of it is kept over a restart."""
+"""The replicated log and the persistent state of a Raft node."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 import msgspec
 
 # Kinds of entries.
-DATA = 0  # the user's
-CONFIG = 1  # who votes
-BLANK = 2  # a leader's first
+DATA = 0  # a command for the state machine
+CONFIG = 1  # a configuration of the cluster
+NOOP = 2  # appended by a new leader
 
 
 class Entry(NamedTuple):
-    """One entry; its index is where it lies in the log."""
+    """One log entry; its index is its position in the log."""
 
     term: int
     kind: int
@@ -22,7 +22,7 @@
 
 
 class Config(NamedTuple):
-    """Who votes, and who only follows until it is caught up (learners)."""
+    """The voters, and the learners, which receive the log without voting."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
@@ -35,16 +35,16 @@
         return self.voters + self.learners
 
 
-def config_of(data: bytes) -> Config:
+def decode_config(data: bytes) -> Config:
     """
-    >>> config_of(Config(("a", "b"), ("c",)).encode())
+    >>> decode_config(Config(("a", "b"), ("c",)).encode())
     Config(voters=('a', 'b'), learners=('c',))
     """
     return msgspec.msgpack.decode(data, type=Config)
 
 
 class Snapshot(NamedTuple):
-    """All that the entries up to `index` have brought about, as bytes of the user's."""
+    """The state that results from all entries up to index `upto`, encoded by the user of the core."""
 
     upto: int = 0
     term: int = 0
@@ -54,15 +54,15 @@
 
 @dataclass(slots=True)
 class Kept:
-    """What a voter finds on its disk when it starts."""
+    """The persistent state of a node, as read from disk at a start."""
 
     term: int = 0
     vote: str = ""
     snapshot: Snapshot = Snapshot()
-    entries: list[Entry] = field(default_factory=list)  # those behind the snapshot
+    entries: list[Entry] = field(default_factory=list)  # after the snapshot
 
     def take(self, row: tuple[Any, ...]) -> None:
-        """One row of what a core had persisted, in its order.
+        """Apply one row of `Results.persist`; rows must be applied in order.
 
         >>> kept = Kept()
         >>> two = [Entry(2, DATA, b"x"), Entry(2, DATA, b"y")]
@@ -77,27 +77,27 @@
             case ("cut", index):
                 del self.entries[max(0, index - self.snapshot.upto - 1) :]
             case ("add", first, entries):
-                at = first - self.snapshot.upto - 1
-                if not 0 <= at <= len(self.entries):
-                    raise ValueError(f"an entry {first} lies behind a gap")
-                self.entries[at:] = entries
-            case ("snapshot", shot):
-                self.entries = self.entries[max(0, shot.upto - self.snapshot.upto) :]
-                self.snapshot = shot
+                offset = first - self.snapshot.upto - 1
+                if not 0 <= offset <= len(self.entries):
+                    raise ValueError(f"the row appends at index {first}, which leaves a gap in the log")
+                self.entries[offset:] = entries
+            case ("snapshot", replacement):
+                self.entries = self.entries[max(0, replacement.upto - self.snapshot.upto) :]
+                self.snapshot = replacement
             case _:
-                raise ValueError(f"a row of an unknown kind {row[0]!r}")
+                raise ValueError(f"unknown row kind {row[0]!r}")
 
 
 class Log:
-    """Entries from `first` on, which follows the snapshot. Indices begin at 1.
+    """Entries after a snapshot; the first log index is 1.
 
     >>> log = Log(Kept(entries=[Entry(1, DATA, b"x"), Entry(2, DATA, b"y")]))
-    >>> log.last, log.term_at(1), log.term_at(3), log.cut(2), log.last
+    >>> log.last, log.term_at(1), log.term_at(3), log.truncate_from(2), log.last
     (2, 1, None, None, 1)
     """
 
-    def __init__(self, kept: Kept) -> None:
-        self.snapshot, self.entries = kept.snapshot, list(kept.entries)
+    def __init__(self, stored: Kept) -> None:
+        self.snapshot, self.entries = stored.snapshot, list(stored.entries)
 
     @property
     def last(self) -> int:
@@ -108,32 +108,32 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None of one that is not here, or no more."""
-        at = index - self.snapshot.upto
-        if at == 0:
+        """The term of the entry at `index`; None if it does not exist or was compacted."""
+        offset = index - self.snapshot.upto
+        if offset == 0:
             return self.snapshot.term
-        return self.entries[at - 1].term if 0 < at <= len(self.entries) else None
+        return self.entries[offset - 1].term if 0 < offset <= len(self.entries) else None
 
     def entry(self, index: int) -> Entry:
         return self.entries[index - self.snapshot.upto - 1]
 
-    def after(self, index: int, most: int) -> list[Entry]:
-        """Entries behind `index`, up to `most` bytes, but one at the least."""
-        found: list[Entry] = []
+    def entries_after(self, index: int, max_bytes: int) -> list[Entry]:
+        """Entries after `index` of up to `max_bytes` in total, and at least one if there is any."""
+        batch: list[Entry] = []
         for entry in self.entries[index - self.snapshot.upto :]:
-            most -= len(entry.data) + 16
-            if found and most < 0:
+            max_bytes -= len(entry.data) + 16
+            if batch and max_bytes < 0:
                 break
-            found.append(entry)
-        return found
+            batch.append(entry)
+        return batch
 
-    def cut(self, index: int) -> None:
-        """Drop the entry at `index` and all behind it."""
+    def truncate_from(self, index: int) -> None:
+        """Delete the entry at `index` and all later ones."""
         del self.entries[index - self.snapshot.upto - 1 :]
 
-    def reach(self, snapshot: Snapshot) -> bool:
-        """Begin behind a newer snapshot; False where what lies behind it here was another's, and is gone."""
-        kept = self.term_at(snapshot.upto) == snapshot.term
-        self.entries = self.entries[snapshot.upto - self.snapshot.upto :] if kept else []
+    def restore_from(self, snapshot: Snapshot) -> bool:
+        """Replace the log up to the snapshot; False if later entries conflicted with it and were dropped."""
+        matches = self.term_at(snapshot.upto) == snapshot.term
+        self.entries = self.entries[snapshot.upto - self.snapshot.upto :] if matches else []
         self.snapshot = snapshot
-        return kept
+        return matches
--- a/merlintally/cluster/core.py
+++ b/merlintally/cluster/core.py
@@ -16,7 +16,7 @@
 
 from merlintally.cluster import UNWELL, agreement, copies, members
 from merlintally.cluster.agreement import Config, Entry, Kept, Pace, Raft
-from merlintally.cluster.agreement.log import CONFIG, DATA, config_of
+from merlintally.cluster.agreement.log import CONFIG, DATA, decode_config
 from merlintally.cluster.copies import Copies, Row
 from merlintally.cluster.members import Members, Rhythm
 from merlintally.cluster.members.core import DEAD, LEFT, START, STATES, SUSPECT
@@ -393,7 +393,7 @@
 
     def step_back(self, now: float, able: bool) -> None:
         """Its disk is full (or has room again): it does not lead while it can't write."""
-        self.now, self.raft.able = now, able
+        self.now, self.raft.can_lead = now, able
         if not able:
             self._hand_on()
 
@@ -546,7 +546,7 @@
                     if node != self.me.name:
                         self.out.sends.append((node, "w.news", (index,)))
         elif one.kind == CONFIG:
-            self.work.voters = config_of(one.data).voters
+            self.work.voters = decode_config(one.data).voters
         self.work.index = index
 
     def _restore(self, data: bytes, upto: int) -> None:
@@ -618,11 +618,11 @@
         """To whoever is furthest, is there, and is not on a machine that has its turn."""
         busy = self._busy()
         ranked = sorted(
-            (name not in busy, self.members.state(name) == 0, peer.match, name)
+            (name not in busy, self.members.state(name) == 0, peer.match_index, name)
             for name, peer in self.raft.peers.items()
             if name in self.raft.config.voters
         )
-        if ranked and not self.raft.successor:
+        if ranked and not self.raft.transfer_target:
             self.raft.transfer(self.now, ranked[-1][-1])
 
     def _vote(self, id_: str, verb: str, args: list[Any], asker: str) -> None:
@@ -675,7 +675,7 @@
             peer = raft.peers.get(name)
             if (
                 peer is not None
-                and peer.match >= raft.commit
+                and peer.match_index >= raft.commit
                 and self.members.state(name) == 0
                 and self._change(
                     Config(
