--- a/merlintally/cluster/members/__init__.py
+++ b/merlintally/cluster/members/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there (SWIM with Lifeguard's additions), without input or output: see docs/members.md."""
+"""Cluster membership (SWIM with the Lifeguard extensions), without input or output: see docs/members.md."""
 
 from merlintally.cluster.members.core import FORMS, MISTAKES, Member, Members, Rhythm
 
--- a/merlintally/cluster/members/core.py
+++ b/merlintally/cluster/members/core.py
@@ -1,9 +1,10 @@
-"""SWIM with Lifeguard's additions, as a core that takes events and gives results.
+"""SWIM membership with the Lifeguard extensions, as a pure state machine.
 
-Each node probes one other a period, directly and then through others; who does not answer is suspected, and
-dead once nobody has refuted that in time. News travels on the probes. A node that is slow itself (it misses
-answers that others get, or is suspected) gives others more time: its `health` is the measure. What comes in
-is one of the calls in `FORMS`, made through `hear`; what is wanted is taken with `take_results`.
+Each node probes one other node per period, first directly and then through others. A node that does not
+answer becomes suspect, and dead unless it refutes the suspicion before the suspicion timeout. Updates are
+piggybacked on the probes. A node that responds slowly itself (it misses acks, or is suspected) raises its
+`local_health` score, which lengthens its probe period and timeouts. Messages are handled by `hear`; their
+types are in `FORMS`. Outputs are collected with `take_results`.
 """
 
 from __future__ import annotations
@@ -14,25 +15,25 @@
 from random import Random
 from typing import Any, NamedTuple
 
-# States; of the same incarnation the higher one holds.
+# Member states; of two updates with the same incarnation the higher state wins.
 ALIVE = 0
 SUSPECT = 1
 DEAD = 2
 LEFT = 3
 STATES = ("alive", "suspect", "dead", "left")
-START = 1 << 20  # by which each start of a node raises its incarnation
-News = tuple[str, int, int, str, str]  # name, state, incarnation, address, who suspects it
-
-FORMS: dict[str, Any] = {  # call -> types of its arguments
-    "ping": tuple[int, str, list[News]],  # number, who is meant, news
-    "ask": tuple[int, str, list[News]],  # number, who is to be probed for the sender, news
-    "ack": tuple[int, list[News]],
-    "gossip": tuple[list[News]],
-    "nack": tuple[int, list[News]],  # who was asked has no answer yet, but is there
-    "state": tuple[bool, list[News]],  # all that the sender knows; whether it wants the same
+START = 1 << 20  # incarnations reserved for each start of a node
+Update = tuple[str, int, int, str, str]  # name, state, incarnation, address, node that suspects it or ""
+
+FORMS: dict[str, Any] = {  # message name -> types of its arguments
+    "ping": tuple[int, str, list[Update]],  # sequence number, target, updates
+    "ask": tuple[int, str, list[Update]],  # indirect probe: sequence number, target, updates
+    "ack": tuple[int, list[Update]],  # sequence number, updates
+    "gossip": tuple[list[Update]],  # updates
+    "nack": tuple[int, list[Update]],  # the relay has no ack yet: sequence number, updates
+    "state": tuple[bool, list[Update]],  # full state exchange: whether a reply is wanted, all members
 }
 
-MISTAKES = (  # planted by name, in tests only
+MISTAKES = (  # faults that tests inject by name
     "old news taken",
     "dead returns by the same incarnation",
     "suspicion is not refuted",
@@ -45,46 +46,50 @@
 
 
 class Rhythm(NamedTuple):
-    """Times in seconds. A stated suspicion lasts `alpha * log10(members)` periods at the least, `beta` times
-    that where no other node confirms it."""
+    """Timing in seconds, fan-out and message sizes.
 
-    period_s: float = 1.0
-    answer_s: float = 0.3  # for a direct answer
-    asked: int = 3  # others that probe for it
+    The suspicion timeout is `alpha * log10(members)` periods, and up to `beta` times that while no other node
+    has confirmed the suspicion.
+    """
+
+    period_s: float = 1.0  # probe interval
+    answer_s: float = 0.3  # timeout of a direct probe
+    asked: int = 3  # nodes asked for an indirect probe
     alpha: float = 4.0
     beta: float = 6.0
-    confirmations: int = 3  # that bring a suspicion down to its least
-    told: float = 3.0  # times log10(members + 1) that a piece of news is told on
-    gossip_s: float = 0.25  # between datagrams of news alone, while there is any
-    fan: int = 2  # to so many others
-    room: int = 1100  # bytes of news in one datagram
-    exchange_s: float = 15.0  # between full exchanges with one other
-    again_s: float = 5.0  # between probes of one of the dead
-    worst: int = 8  # of health
-    flap_half_s: float = 60.0  # in which half of what was held against one that flaps is forgotten
-    flap_most: float = 2.5  # deaths, beyond which a member does not count as steady
-    forget_s: float = 3600.0  # after which one that is dead or has left is forgotten
+    confirmations: int = 3  # confirmations that reduce the suspicion timeout to its minimum
+    told: float = 3.0  # each update is sent this many times log10(members + 1)
+    gossip_s: float = 0.25  # interval of gossip messages while updates are queued
+    fan: int = 2  # receivers of each gossip round
+    room: int = 1100  # bytes of updates in one datagram
+    exchange_s: float = 15.0  # interval of full state exchanges
+    again_s: float = 5.0  # interval of probes of dead members
+    worst: int = 8  # maximum of the local health score
+    flap_half_s: float = 60.0  # half-life of a member's flap score
+    flap_most: float = 2.5  # flap score above which a member is not stable
+    forget_s: float = 3600.0  # time after which dead and left members are removed
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of one. `since`: when its state was last changed, on this node's clock."""
+    """A member as seen by this node. Times are on this node's clock; `since` is that of the last change of
+    state."""
 
     name: str
     address: str
     state: int
     incarnation: int
     since: float
-    deaths: float = 0.0  # lately, by halves
-    deaths_at: float = 0.0
-    until: float = 0.0  # when a suspicion ends
-    began: float = 0.0
-    accusers: list[str] = field(default_factory=list)  # the last one is told on
+    flap_score: float = 0.0  # number of deaths, with exponential decay
+    flap_score_at: float = 0.0  # time at which `flap_score` was computed
+    suspect_until: float = 0.0  # end of the suspicion timeout
+    suspected_at: float = 0.0
+    suspected_by: list[str] = field(default_factory=list)  # updates carry the last one
 
 
 @dataclass(slots=True)
 class Results:
-    """What is wanted: datagrams and streamed messages (`to`, call, arguments), and who changed state."""
+    """Outputs: datagrams, streamed messages (receiver, message, arguments) and changes of state."""
 
     sends: list[tuple[str, str, tuple[Any, ...]]] = field(default_factory=list)
     streams: list[tuple[str, str, tuple[Any, ...]]] = field(default_factory=list)
@@ -93,301 +98,327 @@
 
 
 class Members:
-    """One node's view. `everyone` has the others that it is told of at the start: name -> address."""
+    """The membership as seen by one node. `seeds` are the members known at the start: name -> address."""
 
     def __init__(
         self,
         name: str,
         address: str,
-        everyone: dict[str, str],
+        seeds: dict[str, str],
         start: int,
-        rhythm: Rhythm,
+        settings: Rhythm,
         random: Random,
         now: float,
         mistakes: frozenset[str] = frozenset(),
     ) -> None:
-        self.name, self.rhythm, self.random, self.mistakes, self.now = name, rhythm, random, mistakes, now
+        self.name, self.rhythm, self.random, self.mistakes, self.now = name, settings, random, mistakes, now
         self.incarnation = 0 if "a start forgets its incarnation" in mistakes else start * START
         self.known = {name: Member(name, address, ALIVE, self.incarnation, now)}
-        for other, where in everyone.items():
+        for other, other_address in seeds.items():
             if other != name:
-                self.known[other] = Member(other, where, ALIVE, 0, now)
-        self.health = 0  # 0: well; higher: this node is slow itself, and gives the others more time
+                self.known[other] = Member(other, other_address, ALIVE, 0, now)
+        self.local_health = 0  # local health score: 0 is healthy, higher values lengthen timeouts
         self.leaving = False
-        self.queue: dict[str, int] = {}  # news -> how often it was told
-        self.order: list[str] = []  # whom to probe next
-        self.number = 0
-        self.probing = ""  # who is probed in this period
-        self.answered = True
-        self.nacks = self.asked = 0
-        self.relays: dict[
-            int, tuple[str, int, float, bool]
-        ] = {}  # own number -> asker, its number, until, nacked
-        self.period_at = now + random.random() * rhythm.period_s
-        self.answer_at = 0.0
+        self.update_counts: dict[str, int] = {}  # queued update (a member's name) -> times sent
+        self.probe_order: list[str] = []  # members still to be probed in this round
+        self.sequence = 0
+        self.probe_target = ""  # member probed in the current period
+        self.acked = True
+        self.nacks = self.indirect_requests = 0
+        # Sequence number -> requester of an indirect probe, its sequence number, deadline, nack sent.
+        self.relays: dict[int, tuple[str, int, float, bool]] = {}
+        self.next_period_at = now + random.random() * settings.period_s
+        self.ack_deadline = 0.0
         self.exchange_at = now + random.random()
         self.gossip_at = now
-        self.again_at = now + rhythm.again_s
-        self.suspects: set[str] = set()  # who is suspected now: looked at with each message
+        self.dead_probe_at = now + settings.again_s
+        self.suspects: set[str] = set()  # suspect members; kept so that each message need not scan all
         self.results = Results()
-        self._tell(name)
+        self._queue_update(name)
 
-    # What others ask of it.
+    # Public interface.
 
     def state(self, name: str) -> int | None:
-        found = self.known.get(name)
-        return found.state if found is not None else None
+        member = self.known.get(name)
+        return member.state if member is not None else None
 
     def alive(self) -> list[str]:
-        """All that are not dead and have not left, by name; those suspected are among them."""
-        return sorted(name for name, one in self.known.items() if one.state <= SUSPECT)
+        """Names of the members that are alive or suspect, sorted."""
+        return sorted(name for name, member in self.known.items() if member.state <= SUSPECT)
 
     def steady(self, name: str, now: float) -> bool:
-        """Whether it is alive and has not died over and over lately."""
-        one = self.known.get(name)
-        return one is not None and one.state == ALIVE and self._held(one, now) <= self.rhythm.flap_most
+        """Whether a member is alive and has not died repeatedly within the last minutes."""
+        member = self.known.get(name)
+        return (
+            member is not None
+            and member.state == ALIVE
+            and self._current_flap_score(member, now) <= self.rhythm.flap_most
+        )
 
     def leave(self, now: float) -> None:
-        """Say that it goes; nobody has to find out."""
+        """Announce that this node leaves, so that it is not detected as failed."""
         self.now, self.leaving = now, True
-        me = self.known[self.name]
-        me.state = DEAD if "left counts as dead" in self.mistakes else LEFT
-        for name in self._some(self.rhythm.asked + 1, ()):
-            self._tell(self.name)  # each of them hears it, however often it was told before
+        own = self.known[self.name]
+        own.state = DEAD if "left counts as dead" in self.mistakes else LEFT
+        for name in self._random_peers(self.rhythm.asked + 1, ()):
+            self._queue_update(self.name)  # resets the transmission count, so that every ping carries it
             self._send(name, "ping", 0, name)
 
     def take_results(self) -> Results:
-        found, self.results = self.results, Results()
-        due = [self.period_at, self.exchange_at, self.again_at]
-        if self.answer_at:
-            due.append(self.answer_at)
-        if self.queue:
-            due.append(self.gossip_at)
-        due += [self.known[name].until for name in self.suspects]
-        due += [until for _, _, until, nacked in self.relays.values() if not nacked]
-        found.wake_at = min(due)
-        return found
+        output, self.results = self.results, Results()
+        deadlines = [self.next_period_at, self.exchange_at, self.dead_probe_at]
+        if self.ack_deadline:
+            deadlines.append(self.ack_deadline)
+        if self.update_counts:
+            deadlines.append(self.gossip_at)
+        deadlines += [self.known[name].suspect_until for name in self.suspects]
+        deadlines += [deadline for _, _, deadline, nack_sent in self.relays.values() if not nack_sent]
+        output.wake_at = min(deadlines)
+        return output
 
     def wake(self, now: float) -> None:
-        """Time has passed; call it at `wake_at` or later."""
+        """Handle expired timers; to be called at `wake_at` or later."""
         self.now = now
-        for one in list(self.known.values()):
-            if one.state == SUSPECT and now >= one.until and "suspicion never ends" not in self.mistakes:
-                self._news((one.name, DEAD, one.incarnation, one.address, ""))
-            elif one.state >= DEAD and now - one.since > self.rhythm.forget_s:
-                del self.known[one.name]
-                self.suspects.discard(one.name)
-                self.queue.pop(one.name, None)
-        for number, (asker, its, until, nacked) in list(self.relays.items()):
-            if now >= until + self.rhythm.period_s:
+        for member in list(self.known.values()):
+            if (
+                member.state == SUSPECT
+                and now >= member.suspect_until
+                and "suspicion never ends" not in self.mistakes
+            ):
+                self._apply_update((member.name, DEAD, member.incarnation, member.address, ""))
+            elif member.state >= DEAD and now - member.since > self.rhythm.forget_s:
+                del self.known[member.name]
+                self.suspects.discard(member.name)
+                self.update_counts.pop(member.name, None)
+        for number, (requester, request_number, deadline, nack_sent) in list(self.relays.items()):
+            if now >= deadline + self.rhythm.period_s:
                 del self.relays[number]
-            elif now >= until and not nacked:
-                self.relays[number] = (asker, its, until, True)
-                self._send(asker, "nack", its)
+            elif now >= deadline and not nack_sent:
+                self.relays[number] = (requester, request_number, deadline, True)
+                self._send(requester, "nack", request_number)
         if self.leaving:
-            self.period_at = self.exchange_at = self.again_at = now + self.rhythm.period_s
+            self.next_period_at = self.exchange_at = self.dead_probe_at = now + self.rhythm.period_s
             return
-        if self.answer_at and now >= self.answer_at:
-            self.answer_at = 0.0
-            if not self.answered and "no indirect probe" not in self.mistakes:
-                self._ask_others()
-        if now >= self.period_at:
+        if self.ack_deadline and now >= self.ack_deadline:
+            self.ack_deadline = 0.0
+            if not self.acked and "no indirect probe" not in self.mistakes:
+                self._send_indirect_probes()
+        if now >= self.next_period_at:
             self._end_period()
-            self._probe()
+            self._start_probe()
         if now >= self.exchange_at:
             self.exchange_at = now + self.rhythm.exchange_s * (0.5 + self.random.random())
-            for name in self._some(1, ()):
-                self.results.streams.append((name, "state", (True, self._all())))
-        if self.queue and now >= self.gossip_at:
+            for name in self._random_peers(1, ()):
+                self.results.streams.append((name, "state", (True, self._full_state())))
+        if self.update_counts and now >= self.gossip_at:
             self.gossip_at = now + self.rhythm.gossip_s
-            for name in self._some(self.rhythm.fan, ()):
+            for name in self._random_peers(self.rhythm.fan, ()):
                 self._send(name, "gossip")
-        if now >= self.again_at:
-            self.again_at = now + self.rhythm.again_s * (0.5 + self.random.random())
-            dead = [name for name, one in self.known.items() if one.state == DEAD]
-            if (
-                dead
-            ):  # guards against two halves of a healed partition that hold each other to be dead for good
+        if now >= self.dead_probe_at:
+            self.dead_probe_at = now + self.rhythm.again_s * (0.5 + self.random.random())
+            dead = [name for name, member in self.known.items() if member.state == DEAD]
+            if dead:  # without this, both sides of a healed partition could consider each other dead for ever
                 name = self.random.choice(dead)
                 self._send(name, "ping", 0, name)
 
     def hear(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
-        """A message. News in it is judged piece by piece."""
+        """Handle a message; its updates are applied first."""
         self.now = now
         if call != "state":
-            for piece in args[-1]:
-                self._news(piece)
+            for update in args[-1]:
+                self._apply_update(update)
         getattr(self, f"_{call}")(sender, *args)
 
-    # Probes.
+    # Probing.
 
     def _end_period(self) -> None:
-        probed = self.known.get(self.probing)
-        if not self.answered and probed is not None and probed.state <= SUSPECT:
-            self.health = min(self.rhythm.worst, self.health + 1 + max(0, self.asked - self.nacks - 1))
-            self._news((probed.name, SUSPECT, probed.incarnation, probed.address, self.name))
-        elif self.probing:
-            self.health = max(0, self.health - 1)
-
-    def _probe(self) -> None:
-        self.period_at = self.now + self.rhythm.period_s * (1 + self.health)
-        self.probing, self.answered, self.nacks, self.asked = "", True, 0, 0
-        while self.order or any(True for _ in self._others()):
-            if not self.order:
-                self.order = list(self._others())
-                self.random.shuffle(self.order)
-            name = self.order.pop()
-            one = self.known.get(name)
-            if one is not None and one.state <= SUSPECT:
-                self.number += 1
-                self.probing, self.answered = name, False
-                self.answer_at = self.now + self.rhythm.answer_s * (1 + self.health)
-                self._send(name, "ping", self.number, name)
+        probed = self.known.get(self.probe_target)
+        if not self.acked and probed is not None and probed.state <= SUSPECT:
+            self.local_health = min(
+                self.rhythm.worst, self.local_health + 1 + max(0, self.indirect_requests - self.nacks - 1)
+            )
+            self._apply_update((probed.name, SUSPECT, probed.incarnation, probed.address, self.name))
+        elif self.probe_target:
+            self.local_health = max(0, self.local_health - 1)
+
+    def _start_probe(self) -> None:
+        self.next_period_at = self.now + self.rhythm.period_s * (1 + self.local_health)
+        self.probe_target, self.acked, self.nacks, self.indirect_requests = "", True, 0, 0
+        while self.probe_order or any(True for _ in self._active_peers()):
+            if not self.probe_order:
+                self.probe_order = list(self._active_peers())
+                self.random.shuffle(self.probe_order)
+            name = self.probe_order.pop()
+            member = self.known.get(name)
+            if member is not None and member.state <= SUSPECT:
+                self.sequence += 1
+                self.probe_target, self.acked = name, False
+                self.ack_deadline = self.now + self.rhythm.answer_s * (1 + self.local_health)
+                self._send(name, "ping", self.sequence, name)
                 return
 
-    def _ask_others(self) -> None:
-        for name in self._some(self.rhythm.asked, (self.probing,)):
-            self.asked += 1
-            self._send(name, "ask", self.number, self.probing)
+    def _send_indirect_probes(self) -> None:
+        for name in self._random_peers(self.rhythm.asked, (self.probe_target,)):
+            self.indirect_requests += 1
+            self._send(name, "ask", self.sequence, self.probe_target)
 
-    def _others(self) -> Iterable[str]:
-        return (name for name, one in self.known.items() if one.state <= SUSPECT and name != self.name)
+    def _active_peers(self) -> Iterable[str]:
+        return (name for name, member in self.known.items() if member.state <= SUSPECT and name != self.name)
 
-    def _some(self, count: int, but: tuple[str, ...]) -> list[str]:
-        names = [name for name in self._others() if name not in but]
+    def _random_peers(self, count: int, excluded: tuple[str, ...]) -> list[str]:
+        names = [name for name in self._active_peers() if name not in excluded]
         return self.random.sample(names, min(count, len(names)))
 
-    def _ping(self, sender: str, number: int, meant: str, _: list[News]) -> None:
-        if meant == self.name:  # guards against an answer for one whose address another has now
+    def _ping(self, sender: str, number: int, target: str, _: list[Update]) -> None:
+        if target == self.name:  # the address may have been that of another node before
             self._send(sender, "ack", number)
 
-    def _ask(self, sender: str, number: int, meant: str, _: list[News]) -> None:
-        if meant in self.known and len(self.relays) < 256:
-            self.number += 1
-            self.relays[self.number] = (sender, number, self.now + self.rhythm.answer_s * 0.8, False)
-            self._send(meant, "ping", self.number, meant)
+    def _ask(self, sender: str, number: int, target: str, _: list[Update]) -> None:
+        if target in self.known and len(self.relays) < 256:
+            self.sequence += 1
+            self.relays[self.sequence] = (sender, number, self.now + self.rhythm.answer_s * 0.8, False)
+            self._send(target, "ping", self.sequence, target)
 
-    def _ack(self, sender: str, number: int, _: list[News]) -> None:
-        if number == self.number and sender == self.probing:
-            self.answered = True
+    def _ack(self, sender: str, number: int, _: list[Update]) -> None:
+        if number == self.sequence and sender == self.probe_target:
+            self.acked = True
         elif (relay := self.relays.pop(number, None)) is not None:
             self._send(relay[0], "ack", relay[1])
-        elif number == self.number and self.asked:
-            self.answered = True  # through another
+        elif number == self.sequence and self.indirect_requests:
+            self.acked = True  # by an indirect probe
 
-    def _gossip(self, sender: str, _: list[News]) -> None:
-        """News alone."""
+    def _gossip(self, sender: str, _: list[Update]) -> None:
+        """Carries only updates, which `hear` has applied."""
 
-    def _nack(self, sender: str, number: int, _: list[News]) -> None:
-        if number == self.number:
+    def _nack(self, sender: str, number: int, _: list[Update]) -> None:
+        if number == self.sequence:
             self.nacks += 1
 
-    def _state(self, sender: str, wants: bool, news: list[News]) -> None:
-        for piece in news:
-            self._news(piece)
-        if wants:
-            self.results.streams.append((sender, "state", (False, self._all())))
+    def _state(self, sender: str, reply_wanted: bool, updates: list[Update]) -> None:
+        for update in updates:
+            self._apply_update(update)
+        if reply_wanted:
+            self.results.streams.append((sender, "state", (False, self._full_state())))
 
-    # News.
+    # Updates.
 
-    def _news(self, piece: News) -> None:
-        """The one place where a member's state changes: a higher incarnation holds, and of the same one the
-        higher state. Only a member itself raises its incarnation."""
-        name, state, incarnation, address, accuser = piece
+    def _apply_update(self, update: Update) -> None:
+        """Merge an update; all changes of other members' states happen here.
+
+        A higher incarnation wins, and within one incarnation the higher state. Only the member itself raises
+        its incarnation.
+        """
+        name, state, incarnation, address, suspecting_node = update
         if name == self.name:
             if state == ALIVE or self.leaving or "suspicion is not refuted" in self.mistakes:
                 return
             if incarnation >= self.incarnation:
                 self.incarnation = incarnation + 1
                 self.known[name].incarnation = self.incarnation
-                self.health = min(self.rhythm.worst, self.health + 1)
-            # Also where it is old news of a former start. Guards against a node that came back while cut off,
-            # told its fellows so in vain, and is held to be dead by them for good.
-            self._tell(name)
+                self.local_health = min(self.rhythm.worst, self.local_health + 1)
+            # Refute also suspicions of an earlier start: the updates of this start may all have been lost in
+            # a partition, and the others would consider this node dead for ever.
+            self._queue_update(name)
             return
-        one = self.known.get(name)
-        if one is None:
-            one = self.known[name] = Member(name, address, state, incarnation, self.now)
-            one.accusers, one.began, one.until = [accuser], self.now, self.now + self._patience(0)
-            self._changed(one)
+        member = self.known.get(name)
+        if member is None:
+            member = self.known[name] = Member(name, address, state, incarnation, self.now)
+            member.suspected_by, member.suspected_at, member.suspect_until = (
+                [suspecting_node],
+                self.now,
+                self.now + self._suspicion_timeout_s(0),
+            )
+            self._state_changed(member)
             return
-        if one.state == SUSPECT and state == SUSPECT and incarnation == one.incarnation:
-            self._confirmed(one, accuser)
+        if member.state == SUSPECT and state == SUSPECT and incarnation == member.incarnation:
+            self._confirm_suspicion(member, suspecting_node)
             return
-        newer = incarnation > one.incarnation
-        if "dead returns by the same incarnation" in self.mistakes and one.state == DEAD:
-            newer = incarnation >= one.incarnation
+        is_newer = incarnation > member.incarnation
+        if "dead returns by the same incarnation" in self.mistakes and member.state == DEAD:
+            is_newer = incarnation >= member.incarnation
         if (
             "old news taken" not in self.mistakes
-            and not newer
-            and not (incarnation == one.incarnation and state > one.state)
+            and not is_newer
+            and not (incarnation == member.incarnation and state > member.state)
         ):
             return
-        was, one.state, one.incarnation = one.state, state, incarnation
+        previous_state, member.state, member.incarnation = member.state, state, incarnation
         if state == ALIVE:
-            one.address = address
-        if state != was:
-            one.since = self.now
+            member.address = address
+        if state != previous_state:
+            member.since = self.now
             if state == DEAD:
-                one.deaths, one.deaths_at = self._held(one, self.now) + 1, self.now
+                member.flap_score, member.flap_score_at = (
+                    self._current_flap_score(member, self.now) + 1,
+                    self.now,
+                )
             if state == SUSPECT:
-                one.accusers, one.began = [accuser], self.now
-                one.until = self.now + self._patience(0)
-            self._changed(one)
-        self._tell(name)
-
-    def _changed(self, one: Member) -> None:
-        (self.suspects.add if one.state == SUSPECT else self.suspects.discard)(one.name)
-        self.results.changed.append((one.name, one.state))
-        self._tell(one.name)
-
-    def _confirmed(self, one: Member, accuser: str) -> None:
-        """Another node's own probe has failed, too. Guards against one node's suspicion that counts as many
-        since many pass it on."""
-        if accuser and accuser not in one.accusers and len(one.accusers) <= self.rhythm.confirmations:
-            one.accusers.append(accuser)
-            one.until = one.began + self._patience(len(one.accusers) - 1)
-            self._tell(one.name)
-
-    def _patience(self, confirmed: int) -> float:
-        """How long a suspicion lasts, by how many others have confirmed it, and by this node's own health."""
-        rhythm = self.rhythm
-        least = rhythm.alpha * max(1.0, log10(len(self.known))) * rhythm.period_s
-        most = rhythm.beta * least
-        share = min(1.0, log(confirmed + 1) / log(rhythm.confirmations + 1))
-        return max(least, most - (most - least) * share) if len(self.known) > 3 else least
-
-    def _held(self, one: Member, now: float) -> float:
-        return one.deaths * float(0.5 ** ((now - one.deaths_at) / self.rhythm.flap_half_s))
-
-    def _tell(self, name: str) -> None:
-        self.queue[name] = 0
-
-    def _row(self, name: str) -> News:
-        one = self.known[name]
-        accuser = one.accusers[-1] if one.state == SUSPECT and one.accusers else ""
-        return (name, one.state, one.incarnation, one.address, accuser)
-
-    def _all(self) -> list[News]:
-        return [self._row(name) for name in self.known]
+                member.suspected_by, member.suspected_at = [suspecting_node], self.now
+                member.suspect_until = self.now + self._suspicion_timeout_s(0)
+            self._state_changed(member)
+        self._queue_update(name)
+
+    def _state_changed(self, member: Member) -> None:
+        (self.suspects.add if member.state == SUSPECT else self.suspects.discard)(member.name)
+        self.results.changed.append((member.name, member.state))
+        self._queue_update(member.name)
+
+    def _confirm_suspicion(self, member: Member, suspecting_node: str) -> None:
+        """Count a confirmation of a suspicion. Each suspecting node counts once, however often its update is
+        forwarded."""
+        if (
+            suspecting_node
+            and suspecting_node not in member.suspected_by
+            and len(member.suspected_by) <= self.rhythm.confirmations
+        ):
+            member.suspected_by.append(suspecting_node)
+            member.suspect_until = member.suspected_at + self._suspicion_timeout_s(
+                len(member.suspected_by) - 1
+            )
+            self._queue_update(member.name)
+
+    def _suspicion_timeout_s(self, confirmations_count: int) -> float:
+        """The suspicion timeout, which decreases with the number of confirmations by other nodes."""
+        settings = self.rhythm
+        min_s = settings.alpha * max(1.0, log10(len(self.known))) * settings.period_s
+        max_s = settings.beta * min_s
+        progress = min(1.0, log(confirmations_count + 1) / log(settings.confirmations + 1))
+        return max(min_s, max_s - (max_s - min_s) * progress) if len(self.known) > 3 else min_s
+
+    def _current_flap_score(self, member: Member, now: float) -> float:
+        return member.flap_score * float(0.5 ** ((now - member.flap_score_at) / self.rhythm.flap_half_s))
+
+    def _queue_update(self, name: str) -> None:
+        self.update_counts[name] = 0
+
+    def _update_of(self, name: str) -> Update:
+        member = self.known[name]
+        suspecting_node = member.suspected_by[-1] if member.state == SUSPECT and member.suspected_by else ""
+        return (name, member.state, member.incarnation, member.address, suspecting_node)
+
+    def _full_state(self) -> list[Update]:
+        return [self._update_of(name) for name in self.known]
 
     def _send(self, to: str, call: str, *args: Any) -> None:
-        """A datagram, with as much news as it bears: what was told least first, and what is held against the
-        receiver in any case, so that it can refute it at once (Lifeguard's buddies)."""
-        news: list[News] = []
-        room = self.rhythm.room
-        if (one := self.known.get(to)) is not None and one.state in (SUSPECT, DEAD):
-            news.append(self._row(to))
-            room -= 64
-        most = ceil(self.rhythm.told * log10(len(self.known) + 1))
+        """Queue a datagram with as many updates as fit, those sent least often first.
+
+        An update about a suspect or dead receiver is always included, so that it can refute it at once
+        (Lifeguard's buddy system).
+        """
+        updates: list[Update] = []
+        room_bytes = self.rhythm.room
+        if (member := self.known.get(to)) is not None and member.state in (SUSPECT, DEAD):
+            updates.append(self._update_of(to))
+            room_bytes -= 64
+        max_transmissions = ceil(self.rhythm.told * log10(len(self.known) + 1))
         if "news is never told on" not in self.mistakes:
-            for name in sorted(self.queue, key=self.queue.__getitem__):
-                row = self._row(name)
-                room -= len(name) + len(row[3]) + len(row[4]) + 16
-                if room < 0:
+            for name in sorted(self.update_counts, key=self.update_counts.__getitem__):
+                row = self._update_of(name)
+                room_bytes -= len(name) + len(row[3]) + len(row[4]) + 16
+                if room_bytes < 0:
                     break
-                news.append(row)
-                self.queue[name] += 1
-                if self.queue[name] >= most:
-                    del self.queue[name]
-        self.results.sends.append((to, call, (*args, news)))
+                updates.append(row)
+                self.update_counts[name] += 1
+                if self.update_counts[name] >= max_transmissions:
+                    del self.update_counts[name]
+        self.results.sends.append((to, call, (*args, updates)))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -28,7 +28,7 @@
 def test_one_that_came_back_unheard_tells_so_when_it_hears_that_it_is_dead() -> None:
     """Guards against two sides that hold each other to be dead for good: schedule 32760 of work."""
     core = one()
-    core.queue.clear()  # what it told of its start was lost, and was told as often as news is
+    core.update_counts.clear()  # what it told of its start was lost, and was told as often as news is
     core.hear(1.0, "b", "ping", (7, "a", [("a", DEAD, 3, "a:1", "")]))
     ((to, call, (_, news)),) = core.take_results().sends
     assert (to, call) == ("b", "ack") and ("a", ALIVE, START, "a:1", "") in news
@@ -61,7 +61,7 @@
 def test_a_node_refutes_what_is_said_of_it_and_is_more_patient_with_others() -> None:
     core = one()
     core.hear(1.0, "b", "ping", (1, "a", [("a", SUSPECT, START, "a:1", "b")]))
-    assert core.incarnation == START + 1 and core.health == 1
+    assert core.incarnation == START + 1 and core.local_health == 1
     news = [row for _, _, args in core.take_results().sends for row in args[-1] if row[0] == "a"]
     assert news == [("a", ALIVE, START + 1, "a:1", "")]
 
