--- a/merlintally/cluster/core.py
+++ b/merlintally/cluster/core.py
@@ -1,7 +1,8 @@
-"""One node of a cluster, without input or output: agreement, members, the order of work and copies together.
+"""One node of a cluster as a pure state machine: Raft, membership, work coordination and state copies.
 
-Events in (`hear`, `wake`, `synced`, `ask`), results out (`take_results`), as with each of its parts. Messages
-bear the part's letter before the call's name: `r.` agreement, `m.` members, `w.` work, `c.` copies.
+Inputs are method calls (`hear`, `wake`, `synced`, `ask`), outputs are collected with `take_results`. Message
+names are prefixed by the component that handles them: `r.` Raft, `m.` membership, `w.` work coordination,
+`c.` copies.
 """
 
 from __future__ import annotations
@@ -26,28 +27,28 @@
 from merlintally.cluster.work.parts import share_of
 from merlintally.cluster.work.state import entry, work_of
 
-FORMS: dict[str, Any] = {
-    **{f"r.{call}": form for call, form in agreement.FORMS.items()},
-    **{f"m.{call}": form for call, form in members.FORMS.items()},
-    **{f"c.{call}": form for call, form in copies.FORMS.items()},
-    "w.renew": tuple[float, Report, bool],  # when it was asked, what the node tells, whether it is blank
+FORMS: dict[str, Any] = {  # message name -> types of its arguments
+    **{f"r.{message}": types for message, types in agreement.FORMS.items()},
+    **{f"m.{message}": types for message, types in members.FORMS.items()},
+    **{f"c.{message}": types for message, types in copies.FORMS.items()},
+    "w.renew": tuple[float, Report, bool],  # sent at, report, whether the node has lost its persistent state
     "w.right": tuple[
         float, int, bytes, list[tuple[int, Entry]]
-    ],  # asked when, by which index, state, entries
-    "w.news": tuple[int],  # there are entries up to this index
-    "w.elsewhere": tuple[float, str],  # asked when, who leads ("": nobody that is known)
+    ],  # sent at (of the renewal), index to reach, snapshot of the work state or b"", entries
+    "w.news": tuple[int],  # index of a new committed entry
+    "w.elsewhere": tuple[float, str],  # not the leader: sent at (of the renewal), known leader or ""
     "w.ask": tuple[str, str, list[Any]],  # id, verb, arguments
-    "w.answer": tuple[str, bool, str],  # id, whether, text
+    "w.answer": tuple[str, bool, str],  # id, success, text
 }
-STREAMED = ("r.", "w.", "c.", "m.state")  # over a stream; all else is a datagram
-COMPACT_AFTER = 500
-MOST_ENTRIES = 200
-MOST_WAITING = 1024
-STEP_S = 0.1
+STREAMED = ("r.", "w.", "c.", "m.state")  # prefixes of messages sent over streams; others are datagrams
+COMPACT_AFTER_ENTRIES = 500
+MAX_RENEWAL_ENTRIES = 200  # log entries in one reply to a renewal
+MAX_PENDING_REQUESTS = 1024
+STEP_S = 0.1  # interval of the coordinator's steps
 
 
 class Me(NamedTuple):
-    """Who this is: `address` for streams and datagrams, `start` one higher at each start."""
+    """Identity of this node: `address` is for streams and datagrams, `start` increases with every start."""
 
     name: str
     address: str
@@ -55,172 +56,208 @@
 
 
 class Plan(NamedTuple):
-    """What all nodes of a cluster are told alike: who voted first, whom to look for, and the times."""
+    """Settings shared by all nodes of a cluster: initial voters, seed addresses, timing."""
 
     voters: tuple[str, ...]
     seeds: dict[str, str]
     pace: Pace = Pace()
     rhythm: Rhythm = Rhythm()
     terms: Terms = Terms()
-    copies: copies.Terms | None = None  # None: no state is copied
+    copies: copies.Terms | None = None  # None: state is not copied
 
 
 @dataclass(slots=True)
 class Local:
-    """What the node itself sees, told before each wake: servers to which something is out, whether it has
-    answered all it took, servers that discovery does not list as on, attempts a second by pool."""
+    """Local observations, updated before each `wake`."""
 
-    busy: frozenset[str] = frozenset()
-    idle: bool = True
-    off: tuple[str, ...] = ()
-    rates: dict[str, float] = field(default_factory=dict)
-    wants: dict[str, int] = field(default_factory=dict)  # thousandths of ceilings, by customer
+    busy: frozenset[str] = frozenset()  # app servers with executions in progress
+    idle: bool = True  # whether all accepted submissions were answered
+    off: tuple[str, ...] = ()  # app servers that discovery does not list as on
+    rates: dict[str, float] = field(default_factory=dict)  # attempts per second, by pool
+    wants: dict[str, int] = field(default_factory=dict)  # requested thousandths of ceilings, by customer
 
 
 @dataclass(slots=True)
 class Results:
-    persist: list[tuple[Any, ...]] = field(default_factory=list)
-    number: int = 0
-    sends: list[tuple[str, str, tuple[Any, ...]]] = field(default_factory=list)
-    answers: list[tuple[str, bool, str]] = field(default_factory=list)  # to callers of `ask` here
+    """Outputs of a node since the last call of `take_results`."""
+
+    persist: list[tuple[Any, ...]] = field(default_factory=list)  # rows for the disk, in order
+    number: int = 0  # sequence number of the last row
+    sends: list[tuple[str, str, tuple[Any, ...]]] = field(
+        default_factory=list
+    )  # receiver, message, arguments
+    answers: list[tuple[str, bool, str]] = field(default_factory=list)  # to local callers: id, success, text
     events: list[tuple[str, dict[str, Any]]] = field(default_factory=list)  # for the record and the log
-    changed: bool = False  # what is agreed about machines has changed
-    sums: list[tuple[str, float]] = field(default_factory=list)  # customer, units that others drew by now
+    work_changed: bool = False  # whether the agreed work state has changed
+    sums: list[tuple[str, float]] = field(default_factory=list)  # customer, total units drawn by other nodes
     wake_at: float = 0.0
 
 
 class Cluster:
-    """One node. `kept` is what its disk holds; `blank` says that it has lost what it had promised."""
+    """The state machine of one node."""
 
     def __init__(
         self,
-        me: Me,
-        plan: Plan,
-        kept: Kept,
+        identity: Me,
+        settings: Plan,
+        stored: Kept,
         random: Random,
         now: float,
         blank: bool = False,
         mistakes: frozenset[str] = frozenset(),
         rows: Iterable[Row] = (),
     ) -> None:
-        """`rows`: copies that its folder has, a head start and no authority."""
-        self.me, self.plan, self.random, self.now, self.mistakes = me, plan, random, now, mistakes
+        """`stored` is the persistent state read from disk; `blank` marks a node that has lost it. `rows` are
+        stored copies, used as hints until they are compared with those of other nodes."""
+        self.identity, self.settings, self.random, self.now, self.mistakes = (
+            identity,
+            settings,
+            random,
+            now,
+            mistakes,
+        )
         self.raft = Raft(
-            me.name, kept, Config(plan.voters), plan.pace, Random(random.random()), now, blank, mistakes
+            identity.name,
+            stored,
+            Config(settings.voters),
+            settings.pace,
+            Random(random.random()),
+            now,
+            blank,
+            mistakes,
         )
         self.members = Members(
-            me.name, me.address, plan.seeds, me.start, plan.rhythm, Random(random.random()), now, mistakes
+            identity.name,
+            identity.address,
+            settings.seeds,
+            identity.start,
+            settings.rhythm,
+            Random(random.random()),
+            now,
+            mistakes,
         )
-        self.work = work_of(kept.snapshot.data)
-        self.work.index = max(self.work.index, kept.snapshot.upto)
-        self.work.voters = self.work.voters or plan.voters
-        self.edge = Edge(me.name, me.start, self.work, mistakes)
+        self.work = work_of(stored.snapshot.data)
+        self.work.index = max(self.work.index, stored.snapshot.upto)
+        self.work.voters = self.work.voters or settings.voters
+        self.edge = Edge(identity.name, identity.start, self.work, mistakes)
         self.copies: Copies | None = None
-        if plan.copies is not None:
-            chance = Random(random.random())
-            self.copies = Copies(me.name, me.start, plan.copies, chance, now, rows, mistakes)
-            self._follow_copies()
+        if settings.copies is not None:
+            copies_random = Random(random.random())
+            self.copies = Copies(
+                identity.name, identity.start, settings.copies, copies_random, now, rows, mistakes
+            )
+            self._update_copies()
         self.local = Local()
         self.coordinator: Coordinator | None = None
-        self.led_term = 0
-        self.proposed: dict[str, int] = {}  # what this leader has proposed -> index
-        self.asked: dict[
-            str, tuple[str, float]
-        ] = {}  # id of an entry that waits -> who asked ("": here), since
-        # that wait for the next round: who, asked when, what it tells, whether it is blank
-        self.renewals: list[tuple[str, float, Report, bool]] = []
-        self.rounds: dict[int, list[tuple[str, float, Report, bool]]] = {}
-        self.round = 0
-        self.guess = ""  # who leads, as far as this node has been told
+        self.leader_term = 0
+        self.proposed: dict[str, int] = {}  # proposal of this leader -> log index
+        self.pending_requests: dict[str, tuple[str, float]] = {}  # id -> requesting node ("": local), since
+        # Renewals for the next heartbeat round: node, sent at, report, whether it has lost its state.
+        self.queued_renewals: list[tuple[str, float, Report, bool]] = []
+        self.renewal_rounds: dict[int, list[tuple[str, float, Report, bool]]] = {}
+        self.renewal_round = 0
+        self.guess = ""  # leader as last reported by another node
         self.renew_at, self.step_at = now, now
-        self.asked_at = 0.0  # of the renewal that is out
+        self.renewal_sent_at = 0.0  # send time of the unanswered renewal; 0 if none
         self.events: list[tuple[str, dict[str, Any]]] = []
-        self.changed = False
-        self.forgotten: dict[str, int] = {}  # blank voters -> their starts
+        self.work_changed = False
+        self.removed_voters: dict[str, int] = {}  # voters removed because they lost their state -> start
         self.term = self.raft.term
-        self.out = Results()
+        self.results = Results()
 
-    # What others ask of it.
+    # Public interface.
 
     def may_take(self, now: float) -> bool:
-        return self.edge.may_take(now, self.plan.terms.lease_s)
+        return self.edge.may_take(now, self.settings.terms.lease_s)
 
     def may_send(self, server: str, now: float) -> bool:
-        return self.edge.may_send(server, now, self.plan.terms.lease_s)
+        return self.edge.may_send(server, now, self.settings.terms.lease_s)
 
     def share(self, customer: str, now: float) -> int:
-        """What this node may draw of a customer's ceiling now, in thousandths."""
-        edge, terms = self.edge, self.plan.terms
+        """This node's current share of a customer's ceiling, in thousandths."""
+        edge, terms = self.edge, self.settings.terms
         leased = now < edge.until + terms.lease_s
-        knows = edge.caught_up and not edge.said_gone
-        return share_of(self.work.parts, customer, self.me.name, terms.even, leased, knows, self.mistakes)
+        known_share = edge.caught_up and not edge.said_gone
+        return share_of(
+            self.work.parts, customer, self.identity.name, terms.even, leased, known_share, self.mistakes
+        )
 
     @property
     def leads(self) -> bool:
-        """Whether it leads and knows all that was committed before it did."""
+        """Whether this node leads and has committed an entry of its term, and so all earlier ones."""
         raft = self.raft
         return raft.role == "leader" and raft.log.term_at(raft.commit) == raft.term
 
-    def ask(self, now: float, id_: str, verb: str, args: list[Any], asker: str = "") -> None:
-        """A call of an operator's or a node's: proposed here, or handed to who leads. It may be made again
-        with the same id; it counts once. The answer comes in `answers`, or goes to the node that handed it
-        on."""
+    def ask(self, now: float, request_id: str, verb: str, args: list[Any], requester: str = "") -> None:
+        """Handle a request of an operator or of another node.
+
+        It is answered or proposed here, or forwarded to the leader. It may be repeated with the same id and
+        is applied once. The answer is put into `answers`, or sent to the forwarding node.
+        """
         self.now = now
         if verb == "status":
-            if self.leads or asker or not self._leader():
-                self._answer(id_, asker, True, json.dumps(self.status(now)))
+            if self.leads or requester or not self._known_leader():
+                self._answer(request_id, requester, True, json.dumps(self.status(now)))
                 return
         elif verb == "machines?":
-            self._answer(id_, asker, True, msgspec.json.encode(list(self.work.machines.values())).decode())
+            self._answer(
+                request_id, requester, True, msgspec.json.encode(list(self.work.machines.values())).decode()
+            )
             return
         elif verb == "copies?":
-            self._answer(id_, asker, True, json.dumps(self.copied(*map(str, args[:2]))))
+            self._answer(request_id, requester, True, json.dumps(self.copies_status(*map(str, args[:2]))))
             return
         elif verb == "starts?":
-            one = self.members.known.get(str(args[0]))
-            self._answer(id_, asker, True, str(one.incarnation // START if one is not None else 0))
+            member = self.members.known.get(str(args[0]))
+            self._answer(
+                request_id, requester, True, str(member.incarnation // START if member is not None else 0)
+            )
             return
         elif self.raft.role == "leader" and verb == "turn":
-            # guards against people who touch a machine since a node that is behind still holds it to be out
-            self.raft.read(now, (id_, asker, str(args[0])))
+            # Linearizable, since people rely on it before they touch a machine.
+            self.raft.read(now, (request_id, requester, str(args[0])))
             return
         elif self.raft.role == "leader" and verb in ("learn", "unvote"):
-            self._vote(id_, verb, args, asker)
+            self._change_voters(request_id, verb, args, requester)
             return
-        elif id_ in self.work.taken:
-            self._answer(id_, asker, not self.work.taken[id_], self.work.taken[id_])
+        elif request_id in self.work.taken:
+            self._answer(request_id, requester, not self.work.taken[request_id], self.work.taken[request_id])
             return
         elif self.raft.role == "leader":
-            if len(self.asked) >= MOST_WAITING or not self.raft.propose(now, entry(id_, verb, *args)):
-                self._answer(id_, asker, False, "busy: ask again")
+            if len(self.pending_requests) >= MAX_PENDING_REQUESTS or not self.raft.propose(
+                now, entry(request_id, verb, *args)
+            ):
+                self._answer(request_id, requester, False, "too many pending requests: ask again")
             else:
-                self.asked[id_] = (asker, now)
+                self.pending_requests[request_id] = (requester, now)
             return
-        leader = self._leader()
-        if not leader or asker:
-            self._answer(id_, asker, False, "nobody leads: no majority, or not yet; ask again")
-        elif len(self.asked) < MOST_WAITING:
-            self.asked[id_] = ("", now)
-            self.out.sends.append((leader, "w.ask", (id_, verb, args)))
+        leader = self._known_leader()
+        if not leader or requester:
+            self._answer(
+                request_id, requester, False, "no leader: no majority, or election in progress; ask again"
+            )
+        elif len(self.pending_requests) < MAX_PENDING_REQUESTS:
+            self.pending_requests[request_id] = ("", now)
+            self.results.sends.append((leader, "w.ask", (request_id, verb, args)))
 
     def status(self, now: float) -> dict[str, Any]:
-        """What this node knows: of turns, who is next and why not now, voters and members."""
-        work, led = self.work, self.coordinator
-        waits = led.waits if led is not None else {}
+        """State of this node as JSON values: turns, the next machine, voters, members, requests."""
+        work, active_coordinator = self.work, self.coordinator
+        waits = active_coordinator.waits if active_coordinator is not None else {}
         return {
-            "node": self.me.name,
-            "start": self.me.start,
-            "leader": self._leader(),
+            "node": self.identity.name,
+            "start": self.identity.start,
+            "leader": self._known_leader(),
             "term": self.raft.term,
             "index": work.index,
             "commit": self.raft.commit,
             "leads": self.leads,
             "blank": self.raft.blank,
             "caught_up": self.edge.caught_up,
-            "lease_left_s": round(self.edge.until + self.plan.terms.lease_s - now, 3),
+            "lease_left_s": round(self.edge.until + self.settings.terms.lease_s - now, 3),
             "voters": list(self.raft.config.voters),
             "learners": list(self.raft.config.learners),
-            "members": {name: STATES[one.state] for name, one in sorted(self.members.known.items())},
+            "members": {name: STATES[member.state] for name, member in sorted(self.members.known.items())},
             "turns": [
                 {
                     "machine": turn.machine,
@@ -231,125 +268,137 @@
                 }
                 for turn in work.turns.values()
             ],
-            "next": led.choice.machine if led is not None else "",
-            "why_not": dict(led.choice.why) if led else {},
-            "overdue": led.overdue(now, work) if led is not None else [],
+            "next": active_coordinator.choice.machine if active_coordinator is not None else "",
+            "why_not": dict(active_coordinator.choice.why) if active_coordinator else {},
+            "overdue": active_coordinator.overdue(now, work) if active_coordinator is not None else [],
             "requests": [
                 {
-                    "id": one.id,
-                    "by": one.by,
-                    "reason": one.reason,
-                    "state": one.state,
-                    "machines": list(one.machines),
-                    "done": one.done,
+                    "id": work_request.id,
+                    "by": work_request.by,
+                    "reason": work_request.reason,
+                    "state": work_request.state,
+                    "machines": list(work_request.machines),
+                    "done": work_request.done,
                 }
-                for one in work.requests.values()
+                for work_request in work.requests.values()
             ],
             "machines": len(work.machines),
             "gone": work.gone,
             "history": work.history[-20:],
         }
 
-    def copied(self, what: str = "status", shard: str = "0") -> dict[str, Any]:
-        """What this node holds of state in copies: `status`, `digests` by shard, `quarantine`, or `rows` of
-        one shard, for all would not fit into a frame."""
-        one = self.copies
-        if one is None:
-            return {"node": self.me.name, "on": False}
-        found: dict[str, Any] = {"node": self.me.name, "on": True, "start": self.me.start}
+    def copies_status(self, what: str = "status", shard: str = "0") -> dict[str, Any]:
+        """Copied state held by this node: `status`, `digests` by shard, `quarantine`, or `rows` of one shard
+        (those of all shards may exceed the frame size)."""
+        local_copies = self.copies
+        if local_copies is None:
+            return {"node": self.identity.name, "on": False}
+        answer: dict[str, Any] = {"node": self.identity.name, "on": True, "start": self.identity.start}
         if what == "digests":
-            found["digests"] = {shard: f"{one.store.digest(shard):016x}" for shard in sorted(one.held)}
+            answer["digests"] = {
+                shard: f"{local_copies.store.digest(shard):016x}" for shard in sorted(local_copies.held)
+            }
         elif what == "quarantine":
-            found["quarantine"] = [[origin, *row] for origin, row in one.store.quarantine]
+            answer["quarantine"] = [[origin, *row] for origin, row in local_copies.store.quarantine]
         elif what == "rows":
-            found["rows"] = list(one.store.shard(int(shard))) if shard.isdecimal() else []
+            answer["rows"] = list(local_copies.store.shard(int(shard))) if shard.isdecimal() else []
         else:
-            found |= {
-                "caught_up": one.caught_up,
-                "cold": one.cold,
-                "rows": len(one.store),
-                "shards": len(one.held),
-                "unsent": len(one.unsent),
-                "unanswered": len(one.sent),
-                "leaving": len(one.leaving),
-                "quarantined": len(one.store.quarantine),
-                "refused": one.store.refused,
-                "members": one.members,
+            answer |= {
+                "caught_up": local_copies.caught_up,
+                "cold": local_copies.cold,
+                "rows": len(local_copies.store),
+                "shards": len(local_copies.held),
+                "unsent": len(local_copies.unsent),
+                "unanswered": len(local_copies.sent),
+                "leaving": len(local_copies.leaving),
+                "quarantined": len(local_copies.store.quarantine),
+                "refused": local_copies.store.refused,
+                "members": local_copies.members,
             }
-        return found
+        return answer
 
     def hears_all(self, now: float) -> bool:
-        """Whether nearly all that others draw is known here soon: this node has caught up, is of the side
-        that a leader with a majority answers, the holders of its own rows answer, and of the members no more
-        than UNWELL are suspected or dead (of few, none). Guards against one dead node of hundreds that has
-        all of them go by the counter, and against two sides that each count as hearing all."""
-        one, known = self.copies, self.members.known.values()
-        unwell = sum(member.state in (SUSPECT, DEAD) for member in known)
-        leased = now < self.edge.until + self.plan.terms.lease_s
-        if one is None or not leased or unwell > UNWELL * len(known):
+        """Whether the draws of nearly all other nodes reach this node promptly.
+
+        This requires that the node has caught up, holds a valid lease (so it is on the side of a partition
+        that has a majority), that the holders of its own rows respond, and that at most the share UNWELL of
+        the members is suspect or dead. A small share is tolerated: otherwise one dead node would send all
+        others to the counter.
+        """
+        local_copies, known = self.copies, self.members.known.values()
+        unhealthy = sum(member.state in (SUSPECT, DEAD) for member in known)
+        leased = now < self.edge.until + self.settings.terms.lease_s
+        if local_copies is None or not leased or unhealthy > UNWELL * len(known):
             return False
-        return one.caught_up and not one.unheard(now)
+        return local_copies.caught_up and not local_copies.unheard(now)
 
-    def _follow_copies(self) -> None:
+    def _update_copies(self) -> None:
         assert self.copies is not None
         zones = {edge: row.zone for row in self.work.machines.values() for edge in row.edges}
         self.copies.follow(self.now, self.members.alive(), zones)
 
     def take_results(self) -> Results:
-        found = self.out
+        output = self.results
         raft = self.raft.take_results()
-        found.persist, found.number = raft.persist, raft.number
-        found.sends += [(to, f"r.{call}", args) for to, call, args in raft.sends]
+        output.persist, output.number = raft.persist, raft.number
+        output.sends += [(to, f"r.{message}", args) for to, message, args in raft.sends]
         if raft.restored is not None:
-            self._restore(raft.restored.data, raft.restored.upto)
-        for index, one in raft.applied:
-            self._apply(index, one)
+            self._restore_work(raft.restored.data, raft.restored.upto)
+        for index, log_entry in raft.applied:
+            self._apply(index, log_entry)
         for token, index in raft.reads:
             if isinstance(token, int):
-                self._confirmed(token, index)
+                self._round_confirmed(token, index)
             else:
-                self._answer(token[0], token[1], True, self._turn(token[2]))
+                self._answer(token[0], token[1], True, self._turn_status(token[2]))
         for token in raft.refused:
             if isinstance(token, int):
-                for node, sent, *_ in self.rounds.pop(token, []):
-                    self._reply(node, "w.elsewhere", (sent, ""))
+                for node, sent_at, *_ in self.renewal_rounds.pop(token, []):
+                    self._reply(node, "w.elsewhere", (sent_at, ""))
             else:
-                self._answer(token[0], token[1], False, "nobody leads for certain: ask again")
-        if self.raft.term != self.term or (self.raft.role == "leader") != (self.led_term == self.raft.term):
-            self._office()
-        told = self.members.take_results()
-        found.sends += [(to, f"m.{call}", args) for to, call, args in told.sends + told.streams]
-        found.events += [("member", {"who": name, "state": STATES[state]}) for name, state in told.changed]
+                self._answer(token[0], token[1], False, "leadership was not confirmed: ask again")
+        if self.raft.term != self.term or (self.raft.role == "leader") != (
+            self.leader_term == self.raft.term
+        ):
+            self._role_changed()
+        membership = self.members.take_results()
+        output.sends += [
+            (to, f"m.{message}", args) for to, message, args in membership.sends + membership.streams
+        ]
+        output.events += [
+            ("member", {"who": name, "state": STATES[state]}) for name, state in membership.changed
+        ]
         if (
-            self.raft.applied - self.raft.log.snapshot.upto >= COMPACT_AFTER
+            self.raft.applied - self.raft.log.snapshot.upto >= COMPACT_AFTER_ENTRIES
             and self.work.index == self.raft.applied
         ):
             self.raft.compact(self.now, self.work.encode())
         if self.copies is not None:
-            if told.changed or self.changed:
-                self._follow_copies()
-            copied = self.copies.take_results()
-            found.sends += [(to, f"c.{call}", args) for to, call, args in copied.sends]
-            found.events += [(f"copies {event}", fields) for event, fields in copied.events]
-            found.sums = copied.sums
-            wake_copies = copied.wake_at
+            if membership.changed or self.work_changed:
+                self._update_copies()
+            copies_output = self.copies.take_results()
+            output.sends += [(to, f"c.{message}", args) for to, message, args in copies_output.sends]
+            output.events += [(f"copies {event}", fields) for event, fields in copies_output.events]
+            output.sums = copies_output.sums
+            copies_wake_at = copies_output.wake_at
         else:
-            wake_copies = told.wake_at
-        found.events += self.events
-        found.changed, self.events, self.changed = self.changed, [], False
-        found.wake_at = min(
+            copies_wake_at = membership.wake_at
+        output.events += self.events
+        output.work_changed, self.events, self.work_changed = self.work_changed, [], False
+        output.wake_at = min(
             raft.wake_at,
-            told.wake_at,
-            wake_copies,
+            membership.wake_at,
+            copies_wake_at,
             self.renew_at,
             self.step_at if self.raft.role == "leader" else raft.wake_at,
         )
-        self.out = Results()
-        return found
+        self.results = Results()
+        return output
 
-    # Events.
+    # Inputs.
 
     def hear(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
+        """Handle a message of another node."""
         self.now = now
         part, _, name = call.partition(".")
         if part == "r":
@@ -363,52 +412,56 @@
             getattr(self, f"_on_{name}")(sender, *args)
 
     def synced(self, now: float, number: int) -> None:
+        """Rows up to sequence number `number` are on disk."""
         self.now = now
         self.raft.synced(now, number)
 
     def wake(self, now: float) -> None:
-        """Time has passed; `local` has been told anew."""
+        """Handle expired timers; `local` must be up to date."""
         self.now = now
         self.raft.wake(now)
         self.members.wake(now)
         if self.copies is not None:
             self.copies.wake(now)
         if now >= self.renew_at:
-            self._renew()
+            self._send_renewal()
         if self.raft.role == "leader" and now >= self.step_at:
             self.step_at = now + STEP_S
-            self._lead()
-        for id_, (asker, since) in list(self.asked.items()):
-            if now - since > 10 * self.plan.pace.election_s:
-                del self.asked[id_]
+            self._run_coordinator()
+        for request_id, (requester, since) in list(self.pending_requests.items()):
+            if now - since > 10 * self.settings.pace.election_s:
+                del self.pending_requests[request_id]
                 self._answer(
-                    id_, asker, False, "no answer in time: it may have counted; ask again with its id"
+                    request_id,
+                    requester,
+                    False,
+                    "no answer in time: it may have counted; ask again with its id",
                 )
 
     def leave(self, now: float) -> None:
-        """Hand leadership on, and say that it goes."""
+        """Transfer leadership and announce that this node leaves."""
         self.now = now
-        self._hand_on()
+        self._transfer_leadership()
         self.members.leave(now)
 
-    def step_back(self, now: float, able: bool) -> None:
-        """Its disk is full (or has room again): it does not lead while it can't write."""
-        self.now, self.raft.can_lead = now, able
-        if not able:
-            self._hand_on()
+    def set_can_lead(self, now: float, can_lead: bool) -> None:
+        """Set whether this node may lead, which it may not while its disk is full."""
+        self.now, self.raft.can_lead = now, can_lead
+        if not can_lead:
+            self._transfer_leadership()
 
-    # Renewals: a node's right, and what it has to know.
+    # Lease renewals, which also carry log entries to nodes that do not vote.
 
-    def _renew(self) -> None:
-        terms = self.plan.terms
+    def _send_renewal(self) -> None:
+        terms = self.settings.terms
         self.renew_at = self.now + terms.renew_s * (0.9 + 0.2 * self.random.random())
-        to = self._leader()
-        if not to or (self.asked_at and self.now - self.asked_at > 2 * terms.renew_s):
-            to = self.random.choice(self.raft.config.voters or self.plan.voters)
-        self.asked_at = self.asked_at or self.now
+        to = self._known_leader()
+        if not to or (self.renewal_sent_at and self.now - self.renewal_sent_at > 2 * terms.renew_s):
+            to = self.random.choice(self.raft.config.voters or self.settings.voters)
+        self.renewal_sent_at = self.renewal_sent_at or self.now
         local = self.local
         report = Report(
-            self.me.start,
+            self.identity.start,
             self.work.index,
             self.edge.turns_of(local.busy),
             local.idle,
@@ -416,38 +469,38 @@
             local.rates,
             local.wants,
         )
-        if to == self.me.name:
+        if to == self.identity.name:
             self._on_renew(to, self.now, report, self.raft.blank)
         else:
             self._reply(to, "w.renew", (self.now, report, self.raft.blank))
 
-    def _on_renew(self, sender: str, sent: float, report: Report, blank: bool) -> None:
+    def _on_renew(self, sender: str, sent_at: float, report: Report, blank: bool) -> None:
         if self.raft.role != "leader":
-            self._reply(sender, "w.elsewhere", (sent, self._leader()))
+            self._reply(sender, "w.elsewhere", (sent_at, self._known_leader()))
             return
-        if blank and sender in self.raft.config.voters and self.forgotten.get(sender) != report.start:
-            # it has lost what it promised: out of the voters, and in again once it has all of it
+        if blank and sender in self.raft.config.voters and self.removed_voters.get(sender) != report.start:
+            # Its promises are lost: remove it from the voters. It is added again once it has caught up.
             voters = tuple(name for name in self.raft.config.voters if name != sender)
             if self._change(Config(voters, (*self.raft.config.learners, sender))):
-                self.forgotten[sender] = report.start
+                self.removed_voters[sender] = report.start
                 self.raft.forget(sender)
                 self.events.append(("blank", {"who": sender, "its_start": report.start}))
-        self.renewals.append((sender, sent, report, blank))
-        if len(self.renewals) == 1:  # one round serves all that come until it is begun
+        self.queued_renewals.append((sender, sent_at, report, blank))
+        if len(self.queued_renewals) == 1:  # one heartbeat round serves all renewals queued until then
             self.step_at = min(self.step_at, self.now + 0.005)
 
     def _begin_round(self) -> None:
-        if self.renewals:
-            self.round += 1
-            self.rounds[self.round], self.renewals = self.renewals, []
+        if self.queued_renewals:
+            self.renewal_round += 1
+            self.renewal_rounds[self.renewal_round], self.queued_renewals = self.queued_renewals, []
             if "an old leader's word renews" in self.mistakes:
-                self._confirmed(self.round, self.raft.commit)
+                self._round_confirmed(self.renewal_round, self.raft.commit)
             else:
-                self.raft.read(self.now, self.round)
+                self.raft.read(self.now, self.renewal_round)
 
-    def _confirmed(self, token: int, index: int) -> None:
-        """This was the leader still when the round began: those who had asked before it are answered."""
-        for node, sent, report, blank in self.rounds.pop(token, []):
+    def _round_confirmed(self, token: int, index: int) -> None:
+        """Answer the renewals of a round: this node was still the leader when the round began."""
+        for node, sent_at, report, blank in self.renewal_rounds.pop(token, []):
             if self.coordinator is not None:
                 self.coordinator.renewed(self.now, node, report)
                 (self.coordinator.blank.add if blank else self.coordinator.blank.discard)(node)
@@ -455,136 +508,141 @@
             if report.acts_on < self.raft.log.snapshot.upto:
                 state = self.work.encode()
             else:
-                upto = min(self.work.index, report.acts_on + MOST_ENTRIES)
-                entries = [(at, self.raft.log.entry(at)) for at in range(report.acts_on + 1, upto + 1)]
-            self._reply(node, "w.right", (sent, max(index, self.work.index), state, entries))
+                end = min(self.work.index, report.acts_on + MAX_RENEWAL_ENTRIES)
+                entries = [(at, self.raft.log.entry(at)) for at in range(report.acts_on + 1, end + 1)]
+            self._reply(node, "w.right", (sent_at, max(index, self.work.index), state, entries))
 
     def _on_right(
-        self, sender: str, sent: float, index: int, state: bytes, entries: list[tuple[int, Entry]]
+        self, sender: str, sent_at: float, index: int, state: bytes, entries: list[tuple[int, Entry]]
     ) -> None:
-        self.guess, self.asked_at = sender, 0.0
+        self.guess, self.renewal_sent_at = sender, 0.0
         if state:
-            self._restore(state, 0)
-        for at, one in entries:
-            self._apply(at, one)
-        self.edge.renewed(sent, index, self.now)
+            self._restore_work(state, 0)
+        for entry_index, log_entry in entries:
+            self._apply(entry_index, log_entry)
+        self.edge.renewed(sent_at, index, self.now)
         if self.work.index < index:
-            self.renew_at = self.now  # there is more
+            self.renew_at = self.now  # more entries follow
 
     def _on_news(self, sender: str, index: int) -> None:
-        """A turn waits for nodes to hear of it: they ask at once, spread a little, and not at their next
-        renewal."""
+        """Renew early to fetch a committed entry that a turn may wait for. A random delay spreads the
+        renewals of all nodes."""
         if index > self.work.index:
-            spread = min(self.plan.terms.renew_s / 2, 0.0005 * len(self.members.known))
+            spread = min(self.settings.terms.renew_s / 2, 0.0005 * len(self.members.known))
             self.renew_at = min(self.renew_at, self.now + spread * self.random.random())
 
-    def _on_elsewhere(self, sender: str, sent: float, leader: str) -> None:
-        self.guess = leader if leader != self.me.name else ""
+    def _on_elsewhere(self, sender: str, sent_at: float, leader: str) -> None:
+        self.guess = leader if leader != self.identity.name else ""
         if leader:
             self.renew_at = min(self.renew_at, self.now + 0.02)
-            self.asked_at = 0.0
+            self.renewal_sent_at = 0.0
 
     def _reply(self, to: str, call: str, args: tuple[Any, ...]) -> None:
-        if to == self.me.name:
+        if to == self.identity.name:
             getattr(self, f"_on_{call[2:]}")(to, *args)
         else:
-            self.out.sends.append((to, call, args))
+            self.results.sends.append((to, call, args))
 
-    def _on_ask(self, sender: str, id_: str, verb: str, args: list[Any]) -> None:
-        self.ask(self.now, id_, verb, args, sender)
+    def _on_ask(self, sender: str, request_id: str, verb: str, args: list[Any]) -> None:
+        self.ask(self.now, request_id, verb, args, sender)
 
-    def _turn(self, machine: str) -> str:
-        """The turn of a machine as JSON: number (0: none), state, what it waits for, why it is not its
-        turn."""
-        turn, led = self.work.turns.get(machine), self.coordinator
+    def _turn_status(self, machine: str) -> str:
+        """The turn of a machine as JSON: number (0: none), state, what it waits for, why it is not next."""
+        turn, active_coordinator = self.work.turns.get(machine), self.coordinator
         return json.dumps(
             {
                 "machine": machine,
                 "known": machine in self.work.machines,
                 "number": turn.number if turn else 0,
                 "state": turn.state if turn else "",
-                "waits": led.waits.get(machine, "") if led else "",
-                "why_not": led.choice.why.get(machine, "") if led else "",
+                "waits": active_coordinator.waits.get(machine, "") if active_coordinator else "",
+                "why_not": active_coordinator.choice.why.get(machine, "") if active_coordinator else "",
                 "asked_for": any(
-                    machine in one.machines and machine not in one.done and one.state != "cancelled"
-                    for one in self.work.requests.values()
+                    machine in request.machines
+                    and machine not in request.done
+                    and request.state != "cancelled"
+                    for request in self.work.requests.values()
                 ),
             }
         )
 
-    def _answer(self, id_: str, to: str, ok: bool, text: str) -> None:
+    def _answer(self, request_id: str, to: str, ok: bool, text: str) -> None:
         if to:
-            self.out.sends.append((to, "w.answer", (id_, ok, text)))
+            self.results.sends.append((to, "w.answer", (request_id, ok, text)))
         else:
-            self.out.answers.append((id_, ok, text))
+            self.results.answers.append((request_id, ok, text))
 
-    def _on_answer(self, sender: str, id_: str, ok: bool, text: str) -> None:
-        asked = self.asked.pop(id_, None)
+    def _on_answer(self, sender: str, request_id: str, ok: bool, text: str) -> None:
+        asked = self.pending_requests.pop(request_id, None)
         if asked is None:
             return
-        if self.now - asked[1] > self.plan.terms.lease_s:
-            # guards against people who touch a machine by an answer that a stopped process hands on
-            ok, text = False, "the answer came late, and may be old: ask again"
-        self.out.answers.append((id_, ok, text))
+        if self.now - asked[1] > self.settings.terms.lease_s:
+            # A stopped process may deliver it late; an outdated answer must not lead people to a machine that
+            # is in use.
+            ok, text = False, "the answer arrived late and may be outdated: ask again"
+        self.results.answers.append((request_id, ok, text))
 
-    # What is agreed.
+    # Agreed state.
 
-    def _apply(self, index: int, one: Entry) -> None:
-        """Entries come from the log of a voter and with renewals: each counts once, in its order."""
+    def _apply(self, index: int, log_entry: Entry) -> None:
+        """Apply an entry from the log or from a reply to a renewal, once and in order."""
         if index != self.work.index + 1:
             return
-        if one.kind == DATA:
-            id_, why = self.work.take(index, one.data, self.mistakes)
-            if (asked := self.asked.get(id_)) is not None:
-                del self.asked[id_]
-                self._answer(id_, asked[0], not why, why)
-            self.events.append(("committed", {"index": index, "void": why, "what": id_}))
+        if log_entry.kind == DATA:
+            request_id, why = self.work.take(index, log_entry.data, self.mistakes)
+            if (asked := self.pending_requests.get(request_id)) is not None:
+                del self.pending_requests[request_id]
+                self._answer(request_id, asked[0], not why, why)
+            self.events.append(("committed", {"index": index, "void": why, "what": request_id}))
             self.edge.follow(self.work)
-            self.changed = True
+            self.work_changed = True
             if self.coordinator is not None and self.leads:
                 for node in self.coordinator.heard:
-                    if node != self.me.name:
-                        self.out.sends.append((node, "w.news", (index,)))
-        elif one.kind == CONFIG:
-            self.work.voters = decode_config(one.data).voters
+                    if node != self.identity.name:
+                        self.results.sends.append((node, "w.news", (index,)))
+        elif log_entry.kind == CONFIG:
+            self.work.voters = decode_config(log_entry.data).voters
         self.work.index = index
 
-    def _restore(self, data: bytes, upto: int) -> None:
-        found = work_of(data)
-        found.index = max(found.index, upto)
-        found.voters = found.voters or self.plan.voters
-        if found.index > self.work.index:
-            self.work = found
-            self.edge.follow(found)
-            self.changed = True
-            self.events.append(("committed", {"index": found.index, "void": "", "what": "snapshot"}))
+    def _restore_work(self, data: bytes, min_index: int) -> None:
+        restored = work_of(data)
+        restored.index = max(restored.index, min_index)
+        restored.voters = restored.voters or self.settings.voters
+        if restored.index > self.work.index:
+            self.work = restored
+            self.edge.follow(restored)
+            self.work_changed = True
+            self.events.append(("committed", {"index": restored.index, "void": "", "what": "snapshot"}))
 
-    # Leading.
+    # Leadership.
 
-    def _office(self) -> None:
+    def _role_changed(self) -> None:
         self.term = self.raft.term
         if self.raft.role == "leader":
-            self.led_term = self.raft.term
-            self.coordinator = Coordinator(self.me.name, self.plan.terms, self.now, self.mistakes)
-            self.proposed, self.forgotten, self.step_at = {}, {}, self.now
+            self.leader_term = self.raft.term
+            self.coordinator = Coordinator(self.identity.name, self.settings.terms, self.now, self.mistakes)
+            self.proposed, self.removed_voters, self.step_at = {}, {}, self.now
             self.events.append(("leader", {"term": self.raft.term}))
         else:
-            self.led_term, self.coordinator = 0, None
-            for node, sent, *_ in [*self.renewals, *(row for rows in self.rounds.values() for row in rows)]:
-                self._reply(node, "w.elsewhere", (sent, ""))
-            self.renewals, self.rounds = [], {}
-
-    def _lead(self) -> None:
+            self.leader_term, self.coordinator = 0, None
+            for node, sent_at, *_ in [
+                *self.queued_renewals,
+                *(row for rows in self.renewal_rounds.values() for row in rows),
+            ]:
+                self._reply(node, "w.elsewhere", (sent_at, ""))
+            self.queued_renewals, self.renewal_rounds = [], {}
+
+    def _run_coordinator(self) -> None:
         self._begin_round()
         if not self.leads or self.coordinator is None or self.work.index < self.raft.commit:
             return
-        self._promote()
-        wanted, hand_on = self.coordinator.step(self.now, self.work, self._seen())
-        if hand_on:
-            self._hand_on()
+        self._promote_learner()
+        commands, transfer_first = self.coordinator.step(self.now, self.work, self._observe_fleet())
+        if transfer_first:
+            self._transfer_leadership()
             return
         self.proposed = {key: index for key, index in self.proposed.items() if index > self.work.index}
-        for verb, *args in wanted:
+        for verb, *args in commands:
             key = ":".join(map(str, (verb, *args)))
             if key not in self.proposed:
                 index = self.raft.propose(
@@ -593,17 +651,17 @@
                 if index:
                     self.proposed[key] = index
 
-    def _seen(self) -> Seen:
+    def _observe_fleet(self) -> Seen:
         assert self.coordinator is not None
         recent = [
-            one.report
-            for one in self.coordinator.heard.values()
-            if self.now - one.at < 3 * self.plan.terms.renew_s
+            received.report
+            for received in self.coordinator.heard.values()
+            if self.now - received.at < 3 * self.settings.terms.renew_s
         ]
         dead = [
             name
-            for name, one in self.members.known.items()
-            if one.state in (DEAD, LEFT) or not self.members.steady(name, self.now) and one.state == 0
+            for name, member in self.members.known.items()
+            if member.state in (DEAD, LEFT) or not self.members.steady(name, self.now) and member.state == 0
         ]
         rates: dict[str, float] = {}
         for report in recent:
@@ -611,12 +669,12 @@
                 rates[pool] = rates.get(pool, 0.0) + rate
         voters = frozenset(self.raft.config.voters)
         return Seen(
-            lost(self.work, dead, recent), rates, voters, self.me.name, voters & self.coordinator.blank
+            lost(self.work, dead, recent), rates, voters, self.identity.name, voters & self.coordinator.blank
         )
 
-    def _hand_on(self) -> None:
-        """To whoever is furthest, is there, and is not on a machine that has its turn."""
-        busy = self._busy()
+    def _transfer_leadership(self) -> None:
+        """Transfer to the voter that is most up to date, alive, and not on a machine with a turn."""
+        busy = self._nodes_in_turn()
         ranked = sorted(
             (name not in busy, self.members.state(name) == 0, peer.match_index, name)
             for name, peer in self.raft.peers.items()
@@ -625,51 +683,60 @@
         if ranked and not self.raft.transfer_target:
             self.raft.transfer(self.now, ranked[-1][-1])
 
-    def _vote(self, id_: str, verb: str, args: list[Any], asker: str) -> None:
-        """Voters change one at a time: one that is to vote learns first."""
-        name, now = str(args[0]), self.raft.config
+    def _change_voters(self, request_id: str, verb: str, args: list[Any], requester: str) -> None:
+        """Add a voter as a learner first, or remove one."""
+        name, current = str(args[0]), self.raft.config
         if verb == "learn":
-            wanted = Config(now.voters, tuple(sorted({*now.learners, name} - set(now.voters))))
+            new_config = Config(
+                current.voters, tuple(sorted({*current.learners, name} - set(current.voters)))
+            )
         else:
-            wanted = Config(
-                tuple(one for one in now.voters if one != name),
-                tuple(one for one in now.learners if one != name),
+            new_config = Config(
+                tuple(voter for voter in current.voters if voter != name),
+                tuple(learner for learner in current.learners if learner != name),
             )
-        if wanted == now:
-            self._answer(id_, asker, True, "")
-        elif self._change(wanted):
-            self._answer(id_, asker, True, "begun; see the voters in status")
+        if new_config == current:
+            self._answer(request_id, requester, True, "")
+        elif self._change(new_config):
+            self._answer(request_id, requester, True, "begun; see the voters in status")
         else:
             self._answer(
-                id_,
-                asker,
+                request_id,
+                requester,
                 False,
                 "another change is under way, or no majority would be left beside the machines that are out; "
                 "ask again",
             )
 
-    def _change(self, wanted: Config) -> bool:
-        """Whether the change of voters was begun. Guards against one that makes those out half of the voters:
-        schedule 4214 let a voter in while its machine and another were out. Calls check who votes by the
-        entries before them, so none may be under way."""
+    def _change(self, new_config: Config) -> bool:
+        """Begin a change of the configuration; False if it is not possible now.
+
+        Voters are not changed if machines with a turn would then hold half of the votes. Whether a machine
+        may be called depends on the voters, so no entry that is not applied yet may precede the change.
+        """
         work, raft = self.work, self.raft
-        votes_change = wanted.voters != raft.config.voters and "voters are not counted" not in self.mistakes
-        under_way = raft.log.last > work.index
-        if votes_change and (under_way or self._too_few(wanted)):
+        changes_voters = (
+            new_config.voters != raft.config.voters and "voters are not counted" not in self.mistakes
+        )
+        has_unapplied = raft.log.last > work.index
+        if changes_voters and (has_unapplied or self._loses_majority(new_config)):
             return False
-        return raft.change(self.now, wanted)
+        return raft.change(self.now, new_config)
 
-    def _too_few(self, wanted: Config) -> bool:
+    def _loses_majority(self, new_config: Config) -> bool:
         out = self.work.beyond_call()
-        return bool(set(wanted.voters) & self._busy() and self.work.too_few_voters(out, wanted.voters))
+        return bool(
+            set(new_config.voters) & self._nodes_in_turn()
+            and self.work.too_few_voters(out, new_config.voters)
+        )
 
-    def _busy(self) -> set[str]:
+    def _nodes_in_turn(self) -> set[str]:
         """Nodes whose machines have a turn."""
         work = self.work
         return {edge for name in work.turns if name in work.machines for edge in work.machines[name].edges}
 
-    def _promote(self) -> None:
-        """A learner that has all there is votes from now on."""
+    def _promote_learner(self) -> None:
+        """Make a learner that has caught up a voter."""
         raft = self.raft
         for name in raft.config.learners:
             peer = raft.peers.get(name)
@@ -679,12 +746,13 @@
                 and self.members.state(name) == 0
                 and self._change(
                     Config(
-                        (*raft.config.voters, name), tuple(one for one in raft.config.learners if one != name)
+                        (*raft.config.voters, name),
+                        tuple(learner for learner in raft.config.learners if learner != name),
                     )
                 )
             ):
                 self.events.append(("voter", {"who": name}))
                 return
 
-    def _leader(self) -> str:
+    def _known_leader(self) -> str:
         return self.raft.leader or self.guess
--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -289,12 +289,12 @@
                             f"serving: {full}",
                             "cluster.full",
                         )
-                        await self.queue.post(lambda: self.core.step_back(time.monotonic(), False))
+                        await self.queue.post(lambda: self.core.set_can_lead(time.monotonic(), False))
                     await anyio.sleep(AGAIN_S)
             if not self.able:
                 self.able = True
                 self.log.say("cluster: the disk takes rows again", "cluster.room")
-                await self.queue.post(lambda: self.core.step_back(time.monotonic(), True))
+                await self.queue.post(lambda: self.core.set_can_lead(time.monotonic(), True))
             if core is self.core:
                 await self.queue.post(self._synced, core, number)
 
@@ -322,7 +322,7 @@
                 waiting[0].set()
         for event, fields in found.events:
             self._tell(event, fields)
-        if found.changed:
+        if found.work_changed:
             self._changed()
         if found.sums:
             self._summed(found.sums)
