--- a/merlintally/cluster/links.py
+++ b/merlintally/cluster/links.py
@@ -1,9 +1,9 @@
-"""Between nodes: frames over TCP, one stream each way for each pair, and datagrams over UDP.
+"""Connections between nodes: one TCP stream in each direction for each pair, and UDP datagrams.
 
-A frame is its length (4 bytes), a code made with the cluster's secret (16), and msgpack: a call and its
-arguments. The first frame of a stream says which cluster, form, node and start; nothing else is read before
-it. What is too long, cut, spoilt, of another form or cluster is dropped and counted, and ends one stream at
-most.
+A frame consists of its length (4 bytes), a keyed hash of the body (16 bytes) and the body, a message name and
+its arguments in msgpack. The first frame of a stream is a hello with the format version, cluster, node and
+start of the sender, and nothing else is read before it. Frames that are too long, truncated, corrupt, or of
+another version or cluster are dropped and counted; they end at most the stream they came by.
 """
 
 from __future__ import annotations
@@ -25,92 +25,104 @@
 from merlintally.net.configuration import Address
 from merlintally.net.log import Log
 
-FORM = 1  # of frames and datagrams
-CODE = 16  # bytes
-MOST_HELLO = 512
-MOST_FRAME = 8 << 20
-MOST_DATAGRAM = 1400
-QUEUE = 512  # frames that wait for one node
-AGAIN_S = 0.05
-AGAIN_MOST_S = 1.0
-PATIENCE_S = 5.0
-# how a connection ends
-ENDED = (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
-SAID_S = 5.0  # between lines about frames that were dropped
-
-Hello = tuple[int, str, str, int, str]  # form, cluster, node, start, which life of it
-DECODERS = {call: msgspec.msgpack.Decoder(form) for call, form in FORMS.items()}
-ANY = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
-HELLO = msgspec.msgpack.Decoder(Hello)
-SAID = msgspec.msgpack.Decoder(tuple[str, str, int])  # "welcome" or "refused", why, start that is known
+FORM = 1  # version of the format of frames and datagrams
+MAC_BYTES = 16
+MOST_HELLO = 512  # bytes
+MOST_FRAME = 8 << 20  # bytes
+MOST_DATAGRAM = 1400  # bytes
+MAX_QUEUED_FRAMES = 512  # per receiver
+MIN_RECONNECT_DELAY_S = 0.05
+MAX_RECONNECT_DELAY_S = 1.0
+STREAM_TIMEOUT_S = 5.0
+# Errors that end a connection.
+CONNECTION_ERRORS = (
+    OSError,
+    TimeoutError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)
+DROP_LOG_INTERVAL_S = 5.0  # between log lines about dropped frames
+
+Hello = tuple[int, str, str, int, str]  # format version, cluster, node, start, process instance
+DECODERS = {call: msgspec.msgpack.Decoder(types) for call, types in FORMS.items()}
+ENVELOPE_DECODER = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
+HELLO_DECODER = msgspec.msgpack.Decoder(Hello)
+HELLO_REPLY_DECODER = msgspec.msgpack.Decoder(
+    tuple[str, str, int]
+)  # "welcome" or "refused", reason, last known start
 
 
 class Bad(Exception):
-    """A frame that can't be taken; the text says why."""
+    """A frame that is rejected; the text gives the reason."""
 
 
 class Codec:
-    """Frames with a code by which fellows know each other: blake2b keyed with the cluster's name and
-    secret."""
+    """Authenticates frames with blake2b, keyed with the cluster's name and secret."""
 
     def __init__(self, cluster: str, secret: str) -> None:
         self.key = blake2b(f"{cluster}\0{secret}".encode(), digest_size=32).digest()
 
     def seal(self, body: bytes) -> bytes:
-        return blake2b(body, digest_size=CODE, key=self.key).digest() + body
+        """Prefix a body with its keyed hash."""
+        return blake2b(body, digest_size=MAC_BYTES, key=self.key).digest() + body
 
     def open(self, data: bytes) -> bytes:
-        body = data[CODE:]
-        if len(data) <= CODE or not hmac.compare_digest(
-            data[:CODE], blake2b(body, digest_size=CODE, key=self.key).digest()
+        """Verify and remove the keyed hash; Bad if it does not match."""
+        body = data[MAC_BYTES:]
+        if len(data) <= MAC_BYTES or not hmac.compare_digest(
+            data[:MAC_BYTES], blake2b(body, digest_size=MAC_BYTES, key=self.key).digest()
         ):
-            raise Bad("of another cluster, or spoilt")
+            raise Bad("of another cluster, or corrupt")
         return body
 
     def frame(self, value: Any) -> bytes:
+        """Encode a value as a frame for a stream."""
         data = self.seal(msgspec.msgpack.encode(value))
         return len(data).to_bytes(4, "big") + data
 
 
 def call_of(body: bytes) -> tuple[str, tuple[Any, ...]]:
-    """A call and its arguments, each of its stated type."""
+    """Decode a message into its name and its arguments, which are checked against their types."""
     try:
-        call, raw = ANY.decode(body)
+        call, raw = ENVELOPE_DECODER.decode(body)
         if call not in DECODERS:
-            raise Bad(f"an unknown call {call!r:.20}")
+            raise Bad(f"unknown message {call!r:.20}")
         return call, DECODERS[call].decode(raw)
-    except msgspec.MsgspecError as wrong:
-        raise Bad(f"can't be read: {wrong}") from None
+    except msgspec.MsgspecError as error:
+        raise Bad(f"can't be decoded: {error}") from None
 
 
-async def read_frame(stream: anyio.abc.ByteReceiveStream, held: bytearray, most: int) -> bytes:
-    """The next frame's bytes; EndOfStream at the end, Bad where it is longer than `most`."""
+async def read_frame(stream: anyio.abc.ByteReceiveStream, buffer: bytearray, max_bytes: int) -> bytes:
+    """Read the next frame; EndOfStream at the end, Bad if it is longer than `max_bytes`. `buffer` keeps
+    bytes of later frames between calls."""
     while True:
-        if len(held) >= 4:
-            size = int.from_bytes(held[:4], "big")
-            if not CODE < size <= most:
-                raise Bad(f"{size} bytes long, of at most {most}")
-            if len(held) >= 4 + size:
-                data = bytes(held[4 : 4 + size])
-                del held[: 4 + size]
+        if len(buffer) >= 4:
+            size = int.from_bytes(buffer[:4], "big")
+            if not MAC_BYTES < size <= max_bytes:
+                raise Bad(f"frame is {size} bytes long, of at most {max_bytes}")
+            if len(buffer) >= 4 + size:
+                data = bytes(buffer[4 : 4 + size])
+                del buffer[: 4 + size]
                 return data
-        held += await stream.receive(65536)
+        buffer += await stream.receive(65536)
 
 
 class Outward:
-    """The stream to one other node: what waits for it, oldest dropped first."""
+    """Frames queued for the stream to one other node; when full, the oldest are dropped."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.queue: deque[bytes] = deque(maxlen=QUEUE)
-        self.wanted = anyio.Event()
+        self.queue: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
+        self.not_empty = anyio.Event()
 
 
 class Links:
-    """All that one node sends to its fellows and hears of them.
+    """The connections of one node to all others, and those of operators' clients.
 
-    `hear(sender, call, args)` is awaited for each message; `where(name)` gives a fellow's address or None;
-    `older(start)` is told that fellows know of a start that this folder does not.
+    `on_message(sender, call, args)` is awaited for each message. `resolve(name)` returns the address of a
+    node or None. `on_newer_start(start)` is awaited when others have seen a later start of this node than its
+    folder has. `on_request(id, verb, args)` answers a client.
     """
 
     def __init__(
@@ -120,35 +132,35 @@
         name: str,
         start: int,
         listen: Address,
-        chance: Random,
+        rng: Random,
         log: Log,
-        hear: Callable[[str, str, tuple[Any, ...]], Awaitable[None]],
-        where: Callable[[str], Address | None],
-        older: Callable[[int], Awaitable[None]],
-        client: Callable[[str, str, list[Any]], Awaitable[tuple[bool, str]]],
+        on_message: Callable[[str, str, tuple[Any, ...]], Awaitable[None]],
+        resolve: Callable[[str], Address | None],
+        on_newer_start: Callable[[int], Awaitable[None]],
+        on_request: Callable[[str, str, list[Any]], Awaitable[tuple[bool, str]]],
     ) -> None:
-        self.cluster, self.name, self.start, self.listen, self.chance = cluster, name, start, listen, chance
-        self.codec, self.log, self.hear, self.where, self.older = (
+        self.cluster, self.name, self.start, self.listen, self.rng = cluster, name, start, listen, rng
+        self.codec, self.log, self.on_message, self.resolve, self.on_newer_start = (
             Codec(cluster, secret),
             log,
-            hear,
-            where,
-            older,
+            on_message,
+            resolve,
+            on_newer_start,
         )
-        self.client = client
-        self.life = f"{chance.getrandbits(64):016x}"
+        self.on_request = on_request
+        self.instance_id = f"{rng.getrandbits(64):016x}"
         self.outward: dict[str, Outward] = {}
         self.inward: dict[str, anyio.CancelScope] = {}
-        self.starts: dict[str, tuple[int, str]] = {}  # the last start and life heard of each
+        self.starts: dict[str, tuple[int, str]] = {}  # node -> last start and instance
         self.dropped: Counter[str] = Counter()
-        self.said_at = float("-inf")
+        self.last_drop_logged_at = float("-inf")
         self.sent_bytes = 0
         self.udp: socket.socket | None = None
         self.tcp: anyio.abc.SocketListener | None = None
         self.group: anyio.abc.TaskGroup
 
     async def run(self, group: anyio.abc.TaskGroup) -> None:
-        """Listen, for streams and datagrams, until cancelled; OSError where the address is taken."""
+        """Serve streams and datagrams until cancelled; OSError if the address is in use."""
         self.group = group
         self.udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.udp.setblocking(False)
@@ -159,25 +171,25 @@
                 local_host=host, local_port=port, family=socket.AF_INET
             )
             async with listener:
-                group.start_soon(self._datagrams, self.udp)
-                await listener.serve(self._serve)
+                group.start_soon(self._receive_datagrams, self.udp)
+                await listener.serve(self._serve_stream)
         finally:
             self.udp.close()
 
     def send(self, to: str, call: str, args: tuple[Any, ...]) -> None:
-        """Put a message in the stream to a fellow; what can't get there in time is lost."""
+        """Queue a message for the stream to a node. It is lost if the stream breaks or the queue is full."""
         outward = self.outward.get(to)
         if outward is None:
             outward = self.outward[to] = Outward(to)
-            self.group.start_soon(self._deliver, outward)
-        if len(outward.queue) == QUEUE:
+            self.group.start_soon(self._run_outbound, outward)
+        if len(outward.queue) == MAX_QUEUED_FRAMES:
             self.dropped["queue full"] += 1
         outward.queue.append(self.codec.frame((call, args)))
-        outward.wanted.set()
+        outward.not_empty.set()
 
     def tell(self, to: str, call: str, args: tuple[Any, ...]) -> None:
-        """A datagram to a fellow."""
-        address = self.where(to)
+        """Send a message as a datagram."""
+        address = self.resolve(to)
         data = self.codec.seal(msgspec.msgpack.encode((FORM, self.cluster, self.name, call, args)))
         if address is None or self.udp is None or len(data) > MOST_DATAGRAM:
             self.dropped["datagram unsent"] += 1
@@ -186,66 +198,69 @@
         with suppress(OSError):
             self.udp.sendto(data, address)
 
-    def drop(self, why: str, whose: str) -> None:
-        """Count what was not taken; one line every few seconds at the most."""
-        self.dropped[why] += 1
+    def drop(self, reason: str, sender_name: str) -> None:
+        """Count a dropped frame; logged at most every DROP_LOG_INTERVAL_S."""
+        self.dropped[reason] += 1
         now = anyio.current_time()
-        if now - self.said_at >= SAID_S:
-            self.said_at = now
+        if now - self.last_drop_logged_at >= DROP_LOG_INTERVAL_S:
+            self.last_drop_logged_at = now
             self.log.say(
-                f"cluster: dropped from {whose}: {why} ({sum(self.dropped.values())} in all)",
+                f"cluster: dropped from {sender_name}: {reason} ({sum(self.dropped.values())} in total)",
                 "cluster.dropped",
-                whose=whose,
-                why=why,
+                whose=sender_name,
+                why=reason,
             )
 
-    # Outward.
+    # Outbound streams.
 
-    async def _deliver(self, outward: Outward) -> None:
-        again = AGAIN_S
+    async def _run_outbound(self, outward: Outward) -> None:
+        delay_s = MIN_RECONNECT_DELAY_S
         while True:
             if not outward.queue:
-                outward.wanted = anyio.Event()
-                await outward.wanted.wait()
-            address = self.where(outward.name)
+                outward.not_empty = anyio.Event()
+                await outward.not_empty.wait()
+            address = self.resolve(outward.name)
             try:
                 if address is None:
                     raise OSError("no address")
-                with anyio.fail_after(PATIENCE_S):
+                with anyio.fail_after(STREAM_TIMEOUT_S):
                     stream = await anyio.connect_tcp(*address)
                 async with stream:
                     stream.extra(anyio.abc.SocketAttribute.raw_socket).setsockopt(
                         socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
                     )
-                    await self._greet(stream)
-                    again = AGAIN_S
+                    await self._send_hello(stream)
+                    delay_s = MIN_RECONNECT_DELAY_S
                     await self._pour(outward, stream)
-            except (*ENDED, Bad, msgspec.MsgspecError) as wrong:
-                if isinstance(wrong, Bad):
-                    self.drop(str(wrong), outward.name)
-                outward.queue.clear()  # guards against old news told first, minutes later
-                await anyio.sleep(again * (0.5 + self.chance.random()))
-                again = min(AGAIN_MOST_S, again * 2)
-
-    async def _greet(self, stream: anyio.abc.SocketStream) -> None:
-        await stream.send(self.codec.frame((FORM, self.cluster, self.name, self.start, self.life)))
-        with anyio.fail_after(PATIENCE_S):
-            said, why, start = SAID.decode(self.codec.open(await read_frame(stream, bytearray(), MOST_HELLO)))
-        if said != "welcome":
+            except (*CONNECTION_ERRORS, Bad, msgspec.MsgspecError) as error:
+                if isinstance(error, Bad):
+                    self.drop(str(error), outward.name)
+                outward.queue.clear()  # messages would be outdated by the time of a reconnection
+                await anyio.sleep(delay_s * (0.5 + self.rng.random()))
+                delay_s = min(MAX_RECONNECT_DELAY_S, delay_s * 2)
+
+    async def _send_hello(self, stream: anyio.abc.SocketStream) -> None:
+        await stream.send(self.codec.frame((FORM, self.cluster, self.name, self.start, self.instance_id)))
+        with anyio.fail_after(STREAM_TIMEOUT_S):
+            status, reason, start = HELLO_REPLY_DECODER.decode(
+                self.codec.open(await read_frame(stream, bytearray(), MOST_HELLO))
+            )
+        if status != "welcome":
             if start:
-                await self.older(start)
-            raise Bad(f"refused: {why}")
+                await self.on_newer_start(start)
+            raise Bad(f"refused: {reason}")
 
     async def _pour(self, outward: Outward, stream: anyio.abc.SocketStream) -> None:
         async with anyio.create_task_group() as group:
 
             async def watch() -> None:
-                with suppress(*ENDED):
+                with suppress(*CONNECTION_ERRORS):
                     await stream.receive(1)
                 group.cancel_scope.cancel()
 
             group.start_soon(watch)
-            with suppress(*ENDED):  # guards against a stream that breaks in a send and takes the node with it
+            # An error in a send must end this stream only, not the task group of all.
+            with suppress(*CONNECTION_ERRORS):
                 await self._send_all(outward, stream)
             group.cancel_scope.cancel()
 
@@ -255,72 +270,74 @@
                 data = b"".join(outward.queue)
                 outward.queue.clear()
                 self.sent_bytes += len(data)
-                with anyio.fail_after(PATIENCE_S):  # guards against one that takes and never reads
+                with anyio.fail_after(STREAM_TIMEOUT_S):  # the receiver may have stopped reading
                     await stream.send(data)
-            outward.wanted = anyio.Event()
-            await outward.wanted.wait()
+            outward.not_empty = anyio.Event()
+            await outward.not_empty.wait()
 
-    # Inward.
+    # Inbound streams and datagrams.
 
-    async def _serve(self, stream: anyio.abc.SocketStream) -> None:
-        held, name = bytearray(), "somebody"
+    async def _serve_stream(self, stream: anyio.abc.SocketStream) -> None:
+        buffer, name = bytearray(), "unknown"
         scope = anyio.CancelScope()
         try:
             async with stream:
-                with anyio.fail_after(PATIENCE_S):
-                    body = self.codec.open(await read_frame(stream, held, MOST_HELLO))
-                form, cluster, name, start, life = HELLO.decode(body)
-                why, known = self._welcome(form, cluster, name, start, life)
-                if why:
-                    await stream.send(self.codec.frame(("refused", why, known)))
-                    raise Bad(why)
+                with anyio.fail_after(STREAM_TIMEOUT_S):
+                    body = self.codec.open(await read_frame(stream, buffer, MOST_HELLO))
+                version, cluster, name, start, instance_id = HELLO_DECODER.decode(body)
+                reason, known = self._check_hello(version, cluster, name, start, instance_id)
+                if reason:
+                    await stream.send(self.codec.frame(("refused", reason, known)))
+                    raise Bad(reason)
                 await stream.send(self.codec.frame(("welcome", "", 0)))
                 if name.startswith("client:"):
-                    await self._serve_client(stream, held)
+                    await self._serve_client(stream, buffer)
                     return
-                if (before := self.inward.get(name)) is not None:
-                    before.cancel()
+                if (previous := self.inward.get(name)) is not None:
+                    previous.cancel()
                 with scope:
                     self.inward[name] = scope
                     while True:
-                        call, args = call_of(self.codec.open(await read_frame(stream, held, MOST_FRAME)))
-                        await self.hear(name, call, args)
-        except Bad as wrong:
-            self.drop(str(wrong), name)
+                        call, args = call_of(self.codec.open(await read_frame(stream, buffer, MOST_FRAME)))
+                        await self.on_message(name, call, args)
+        except Bad as error:
+            self.drop(str(error), name)
         except msgspec.MsgspecError:
-            self.drop("a greeting that can't be read", name)
-        except ENDED:
+            self.drop("hello can't be decoded", name)
+        except CONNECTION_ERRORS:
             pass
         finally:
             if self.inward.get(name) is scope:
                 del self.inward[name]
 
-    def _welcome(self, form: int, cluster: str, name: str, start: int, life: str) -> tuple[str, int]:
-        """Why a stream is refused, or "", and the start that is known of its node where its own is older."""
-        if form != FORM:
-            return f"form {form} of frames, and here it is {FORM}", 0
+    def _check_hello(
+        self, version: int, cluster: str, name: str, start: int, instance_id: str
+    ) -> tuple[str, int]:
+        """The reason to refuse a stream or "", and the last known start of its node if it is the reason."""
+        if version != FORM:
+            return f"frame format {version}, expected {FORM}", 0
         if cluster != self.cluster:
             return f"of cluster {cluster!r:.40}", 0
         if name.startswith("client:"):
             return "", 0
         if name == self.name:
             return f"{name!r:.40} is this node's own name", 0
-        known, its_life = self.starts.get(name, (0, ""))
-        if start < known or start == known and life != its_life:
+        known, known_instance = self.starts.get(name, (0, ""))
+        if start < known or start == known and instance_id != known_instance:
             return f"{name} has started {known} times already, and this is its start {start}", known
-        self.starts[name] = (start, life)
+        self.starts[name] = (start, instance_id)
         return "", 0
 
-    async def _serve_client(self, stream: anyio.abc.SocketStream, held: bytearray) -> None:
-        """An operator's command line: one question after another."""
+    async def _serve_client(self, stream: anyio.abc.SocketStream, buffer: bytearray) -> None:
+        """Answer the requests of an operator's client, one after another."""
         while True:
-            call, args = call_of(self.codec.open(await read_frame(stream, held, MOST_FRAME)))
+            call, args = call_of(self.codec.open(await read_frame(stream, buffer, MOST_FRAME)))
             if call != "w.ask":
-                raise Bad(f"a client calls {call}")
-            ok, text = await self.client(*args)
+                raise Bad(f"a client sent {call}")
+            ok, text = await self.on_request(*args)
             await stream.send(self.codec.frame(("w.answer", (args[0], ok, text))))
 
-    async def _datagrams(self, sock: socket.socket) -> None:
+    async def _receive_datagrams(self, sock: socket.socket) -> None:
         decoder = msgspec.msgpack.Decoder(tuple[int, str, str, str, msgspec.Raw])
         while True:
             await anyio.wait_readable(sock)
@@ -330,38 +347,41 @@
                 continue
             try:
                 if len(data) > MOST_DATAGRAM:
-                    raise Bad("a datagram that is too long")
-                form, cluster, name, call, raw = decoder.decode(self.codec.open(data))
-                if form != FORM or cluster != self.cluster:
-                    raise Bad(f"form {form}, cluster {cluster!r:.40}")
-                if self.where(name) is None or not call.startswith("m.") or call not in DECODERS:
-                    raise Bad(f"{name!r:.40} calls {call!r:.20}")
-                await self.hear(name, call, DECODERS[call].decode(raw))
-            except Bad as wrong:
-                self.drop(str(wrong), f"{sender[0]}:{sender[1]}")
+                    raise Bad("datagram too long")
+                version, cluster, name, call, raw = decoder.decode(self.codec.open(data))
+                if version != FORM or cluster != self.cluster:
+                    raise Bad(f"frame format {version}, cluster {cluster!r:.40}")
+                if self.resolve(name) is None or not call.startswith("m.") or call not in DECODERS:
+                    raise Bad(f"{name!r:.40} sent {call!r:.20}")
+                await self.on_message(name, call, DECODERS[call].decode(raw))
+            except Bad as error:
+                self.drop(str(error), f"{sender[0]}:{sender[1]}")
             except msgspec.MsgspecError:
-                self.drop("a datagram that can't be read", f"{sender[0]}:{sender[1]}")
+                self.drop("datagram can't be decoded", f"{sender[0]}:{sender[1]}")
 
 
 async def ask(
     address: Address,
     cluster: str,
     secret: str,
-    id_: str,
+    request_id: str,
     verb: str,
     args: list[Any],
-    patience_s: float = PATIENCE_S,
+    timeout_s: float = STREAM_TIMEOUT_S,
 ) -> tuple[bool, str]:
-    """One question of an operator's, to the node at `address`; OSError or Bad where there is no answer."""
+    """Send one request of an operator to the node at `address`; OSError or Bad if there is no answer."""
     codec = Codec(cluster, secret)
-    with anyio.fail_after(patience_s):
+    with anyio.fail_after(timeout_s):
         async with await anyio.connect_tcp(*address) as stream:
-            held = bytearray()
+            buffer = bytearray()
             await stream.send(
-                codec.frame((FORM, cluster, "client:", 0, id_)) + codec.frame(("w.ask", (id_, verb, args)))
+                codec.frame((FORM, cluster, "client:", 0, request_id))
+                + codec.frame(("w.ask", (request_id, verb, args)))
+            )
+            status, reason, _ = HELLO_REPLY_DECODER.decode(
+                codec.open(await read_frame(stream, buffer, MOST_HELLO))
             )
-            said, why, _ = SAID.decode(codec.open(await read_frame(stream, held, MOST_HELLO)))
-            if said != "welcome":
-                raise Bad(f"refused: {why}")
-            _, (_, ok, text) = call_of(codec.open(await read_frame(stream, held, MOST_FRAME)))
+            if status != "welcome":
+                raise Bad(f"refused: {reason}")
+            _, (_, ok, text) = call_of(codec.open(await read_frame(stream, buffer, MOST_FRAME)))
             return ok, text
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -47,7 +47,7 @@
         (Codec("one", "secret"), sealed[:-1] + b"x"),
         (Codec("one", "secret"), b"short"),
     ):
-        with pytest.raises(Bad, match="of another cluster, or spoilt"):
+        with pytest.raises(Bad, match="of another cluster, or corrupt"):
             other.open(data)
 
 
@@ -168,7 +168,7 @@
     new, old, b = ends.links("a", 5), ends.links("a", 4), ends.links("b")
 
     async def act() -> None:
-        b._welcome(FORM, "c", "a", 5, new.life)
+        b._check_hello(FORM, "c", "a", 5, new.instance_id)
         old.group = b.group
         old.send("b", "r.begin", (7,))
         await ends.until(lambda: bool(ends.older))
