--- a/merlintally/cluster/disk.py
+++ b/merlintally/cluster/disk.py
@@ -1,7 +1,7 @@
-"""The folder of a node: the log that it has promised to keep, how often it has started, and a lock.
+"""A node's folder on disk: its Raft log, the number of its starts, stored copies, and a lock file.
 
-The log is one file of records, each with its length and checksum, written and synced in batches; a snapshot
-begins it anew. Why a file and not an embedded store: docs/agreement.md.
+The log is a file of records, each with its length and checksum, appended and synced in batches. A snapshot
+replaces the file. docs/agreement.md explains why no embedded store is used.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from merlintally.cluster.agreement import Entry, Kept, Snapshot
 from merlintally.cluster.copies import Row
 
-FORM = b"merlintally log 1\n"
-CLOSED = -1  # of a file descriptor
-HEAD = 8  # bytes before a record: its length and checksum
-MOST = 64 << 20  # bytes of one record
-ROWS: dict[str, Any] = {
+FORM = b"merlintally log 1\n"  # file header
+CLOSED_DESCRIPTOR = -1
+RECORD_HEADER_BYTES = 8  # length and checksum
+MAX_RECORD_BYTES = 64 << 20
+ROW_TYPES: dict[str, Any] = {  # kind of row -> its type
     "vote": tuple[str, int, str],
     "cut": tuple[str, int],
     "add": tuple[str, int, list[Entry]],
@@ -31,64 +31,76 @@
 
 
 class Spoilt(Exception):
-    """The log can't be trusted: a record in its middle is not what was written."""
+    """The folder is corrupt: a record that was on disk is not what was written."""
 
 
 class Full(Exception):
-    """The disk takes nothing more; what was to be written is not on it."""
+    """A write failed, and none of its rows are on disk."""
 
 
 def record_of(row: tuple[Any, ...]) -> bytes:
+    """Encode a row as a record of the log."""
     body = msgspec.msgpack.encode(row)
     return len(body).to_bytes(4, "little") + zlib.crc32(body).to_bytes(4, "little") + body
 
 
-def row_of(body: bytes) -> tuple[Any, ...]:
+def decode_row(body: bytes) -> tuple[Any, ...]:
+    """Decode the body of a record."""
     kind = msgspec.msgpack.decode(body)[0]
-    found: tuple[Any, ...] = msgspec.msgpack.decode(body, type=ROWS[kind])
-    return found
+    row: tuple[Any, ...] = msgspec.msgpack.decode(body, type=ROW_TYPES[kind])
+    return row
 
 
-def whole_at(data: bytes, at: int) -> bytes | None:
-    """The record at `at` if it is whole and as it was written."""
-    size = int.from_bytes(data[at : at + 4], "little")
-    if not 0 < size <= min(MOST, len(data) - at - HEAD):
+def record_at(data: bytes, offset: int) -> bytes | None:
+    """The body of the record at `offset`, or None if it is incomplete or its checksum is wrong."""
+    size = int.from_bytes(data[offset : offset + 4], "little")
+    if not 0 < size <= min(MAX_RECORD_BYTES, len(data) - offset - RECORD_HEADER_BYTES):
         return None
-    body = data[at + HEAD : at + HEAD + size]
-    return body if zlib.crc32(body).to_bytes(4, "little") == data[at + 4 : at + HEAD] else None
+    body = data[offset + RECORD_HEADER_BYTES : offset + RECORD_HEADER_BYTES + size]
+    return (
+        body
+        if zlib.crc32(body).to_bytes(4, "little") == data[offset + 4 : offset + RECORD_HEADER_BYTES]
+        else None
+    )
 
 
-def read_log(data: bytes, where: str) -> tuple[Kept, int]:
-    """What the bytes of a log hold, and how many of them are good. A last record that is not whole was being
-    written when the process ended, and promised to nobody; Spoilt where good ones lie behind a bad one."""
+def read_log(data: bytes, name: str) -> tuple[Kept, int]:
+    """Decode a log; returns its state and the size of its valid part.
+
+    An invalid last record is ignored: the process ended while it was written, so it was never acknowledged.
+    Spoilt if a valid record follows an invalid one.
+    """
     if not data.startswith(FORM):
-        raise Spoilt(f"{where}: is no log of a form that is known here ({data[:18]!r})")
-    kept, at = Kept(), len(FORM)
-    while at < len(data):
-        body = whole_at(data, at)
+        raise Spoilt(f"{name}: unknown log format ({data[:18]!r})")
+    kept, offset = Kept(), len(FORM)
+    while offset < len(data):
+        body = record_at(data, offset)
         if body is None:
-            if any(whole_at(data, later) is not None for later in range(at + 1, len(data) - HEAD)):
+            if any(
+                record_at(data, later_offset) is not None
+                for later_offset in range(offset + 1, len(data) - RECORD_HEADER_BYTES)
+            ):
                 raise Spoilt(
-                    f"{where}: the record at byte {at} is spoilt, and good ones follow: set the folder aside "
-                    "and let the node begin anew"
+                    f"{name}: the record at byte {offset} is corrupt, and valid ones follow: move the folder "
+                    "away and restart the node without it"
                 )
             break
         try:
-            kept.take(row_of(body))
-        except (ValueError, KeyError, TypeError, msgspec.MsgspecError) as wrong:
-            raise Spoilt(f"{where}: the record at byte {at} can't be read: {wrong}") from None
-        at += HEAD + len(body)
-    return kept, at
+            kept.take(decode_row(body))
+        except (ValueError, KeyError, TypeError, msgspec.MsgspecError) as error:
+            raise Spoilt(f"{name}: the record at byte {offset} can't be decoded: {error}") from None
+        offset += RECORD_HEADER_BYTES + len(body)
+    return kept, offset
 
 
 class Disk:
-    """One process at a time holds the folder. `write` blocks until all is on disk: call it in a thread."""
+    """A node's folder, locked by one process. `write` blocks until rows are synced: run it in a thread."""
 
     def __init__(self, folder: Path) -> None:
-        """Open the folder, made if missing; Spoilt, or OSError where another process holds it."""
+        """Open the folder, which is created if missing; Spoilt if it is corrupt, OSError if it is locked."""
         self.folder, self.path = folder, folder / "agreement.log"
-        self.file = self.mark = CLOSED
-        self.failed = False  # a call failed, and what the log holds has to be looked at again
+        self.file = self.synced_size_file = CLOSED_DESCRIPTOR
+        self.needs_repair = False  # a write failed, so the log may hold more than was acknowledged
         folder.mkdir(parents=True, exist_ok=True)
         self.lock = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o644)
         try:
@@ -97,72 +109,76 @@
             os.close(self.lock)
             raise OSError(f"{folder}: another process holds this folder") from None
         try:
-            self.mark = os.open(folder / "synced", os.O_RDWR | os.O_CREAT, 0o644)
+            self.synced_size_file = os.open(folder / "synced", os.O_RDWR | os.O_CREAT, 0o644)
             self.blank = not self.path.exists()
             if self.blank:
-                (folder / "blank").touch()  # before the log: a start that is killed between must not vote
+                # Before the log: a start that is killed between the two must not vote.
+                (folder / "blank").touch()
                 self._sync_folder()
                 self.kept = Kept()
-                self._begin_anew()
+                self._write_log()
             data = self.path.read_bytes()
             self.kept, self.size = read_log(data, str(self.path))
-            if self.size < self._marked() <= len(data):
+            if self.size < self._read_synced_size() <= len(data):
                 raise Spoilt(
-                    f"{self.path}: the last record at byte {self.size} was on disk, and is spoilt: set the "
-                    "folder aside and let the node begin anew"
+                    f"{self.path}: the last record at byte {self.size} was on disk, and is corrupt: move the "
+                    "folder away and restart the node without it"
                 )
             self.torn = len(data) - self.size
             self.file = os.open(self.path, os.O_WRONLY)
             os.ftruncate(self.file, self.size)
             os.lseek(self.file, 0, os.SEEK_END)
-            self._mark(self.size)
+            self._write_synced_size(self.size)
             self.blank = self.blank or (folder / "blank").exists()
             self.start = self._next_start()
         except BaseException:
-            for opened in (self.file, self.mark, self.lock):
-                if opened != CLOSED:
-                    os.close(opened)
+            for descriptor in (self.file, self.synced_size_file, self.lock):
+                if descriptor != CLOSED_DESCRIPTOR:
+                    os.close(descriptor)
             raise
 
-    def _mark(self, size: int) -> None:
-        """Note how much of the log is on disk. Guards against a spoilt last record that is taken for one that
-        was being written. Not synced itself: after a power cut it may say less, never more."""
+    def _write_synced_size(self, size: int) -> None:
+        """Store the size of the synced log, which distinguishes a corrupt last record from a torn write.
+
+        The file itself is not synced: after a power failure its value may be too low, but never too high.
+        """
         body = size.to_bytes(8, "little")
         with suppress(OSError):
-            os.pwrite(self.mark, body + zlib.crc32(body).to_bytes(4, "little"), 0)
+            os.pwrite(self.synced_size_file, body + zlib.crc32(body).to_bytes(4, "little"), 0)
 
-    def _marked(self) -> int:
-        data = os.pread(self.mark, 12, 0)
-        whole = len(data) == 12 and zlib.crc32(data[:8]).to_bytes(4, "little") == data[8:]
-        return int.from_bytes(data[:8], "little") if whole else 0
+    def _read_synced_size(self) -> int:
+        """The stored size of the synced log; 0 if unknown."""
+        data = os.pread(self.synced_size_file, 12, 0)
+        is_valid = len(data) == 12 and zlib.crc32(data[:8]).to_bytes(4, "little") == data[8:]
+        return int.from_bytes(data[:8], "little") if is_valid else 0
 
     def _next_start(self) -> int:
         path = self.folder / "start"
         try:
-            before = int(path.read_text()) if path.exists() else 0
+            previous_start = int(path.read_text()) if path.exists() else 0
         except ValueError:
-            raise Spoilt(f"{path}: is no number") from None
-        self.started(before + 1)
-        return before + 1
+            raise Spoilt(f"{path}: is not a number") from None
+        self.write_start(previous_start + 1)
+        return previous_start + 1
 
-    def started(self, number: int) -> None:
-        """Keep how often this node has started."""
-        self._replace("start", str(number).encode())
+    def write_start(self, number: int) -> None:
+        """Store the number of starts of this node."""
+        self._replace_file("start", str(number).encode())
 
     def admitted(self) -> None:
-        """It votes again: it holds all that it will ever promise."""
+        """Record that this node may vote, now that it has been added to the voters again."""
         if self.blank:
             (self.folder / "blank").unlink(missing_ok=True)
             self._sync_folder()
             self.blank = False
 
     def keep(self, rows: list[Row]) -> None:
-        """Keep copies of others' state: a head start for the next time, which may be old or missing."""
+        """Store copies of other nodes' state, as hints for the next start."""
         body = msgspec.msgpack.encode(rows)
-        self._replace("copies", zlib.crc32(body).to_bytes(4, "little") + body)
+        self._replace_file("copies", zlib.crc32(body).to_bytes(4, "little") + body)
 
     def kept_rows(self) -> list[Row]:
-        """What `keep` was given last; nothing where it can't be read."""
+        """The rows last stored by `keep`; empty if the file is missing or corrupt."""
         path = self.folder / "copies"
         data = path.read_bytes() if path.exists() else b""
         if zlib.crc32(data[4:]).to_bytes(4, "little") != data[:4]:
@@ -173,58 +189,63 @@
             return []
 
     def set_aside(self) -> None:
-        """Begin anew: fellows know of later starts than this folder does. The old log stays beside it. Where
-        it raises OSError the old log is in force still, and it may be called again."""
+        """Start with an empty log, because the folder is older than what other nodes have seen.
+
+        The old log is kept under another name. After an OSError the old log is still in use, and the call may
+        be repeated.
+        """
         number = 1
-        while (aside := self.folder / f"agreement.log.older-{number}").exists():
+        while (backup := self.folder / f"agreement.log.older-{number}").exists():
             number += 1
-        os.link(self.path, aside)
+        os.link(self.path, backup)
         (self.folder / "blank").touch()
         self.blank = True
-        kept, self.kept, self.failed = self.kept, Kept(), True
+        kept, self.kept, self.needs_repair = self.kept, Kept(), True
         try:
-            self._rewrite()
-            self.failed = False
+            self._replace_log()
+            self.needs_repair = False
         except OSError:
-            if os.path.samestat(os.stat(self.path), os.fstat(self.file)):  # the old log is still in force
+            if os.path.samestat(os.stat(self.path), os.fstat(self.file)):  # not replaced
                 self.kept = kept
                 raise
 
     def write(self, rows: list[tuple[Any, ...]]) -> None:
-        """Put rows on disk, all or none; Full where it takes them not. The same rows may be written again."""
+        """Write and sync rows, all or none; Full if that fails. The same rows may then be written again."""
         try:
             self._repair()
             self._write(rows)
-        except OSError as wrong:
-            self.failed = True
+        except OSError as error:
+            self.needs_repair = True
             with suppress(Full):
                 self._repair()
-            raise Full(f"{self.path}: {wrong.strerror}") from None
+            raise Full(f"{self.path}: {error.strerror}") from None
 
     def _repair(self) -> None:
-        """Bring the log back to what was promised, after a call that failed. Guards against rows written
-        behind the rest of a failed write, or to a file that a failed snapshot has replaced already: nobody
-        would read them. Full while that can't be done."""
-        if not self.failed:
+        """Restore the acknowledged log after a failed write; Full while that is not possible.
+
+        Otherwise rows could follow the remains of a failed write, or go to a file that a failed snapshot has
+        already replaced, and would not be read at the next start.
+        """
+        if not self.needs_repair:
             return
         try:
-            opened = os.open(self.path, os.O_WRONLY)
+            descriptor = os.open(self.path, os.O_WRONLY)
             try:
-                replaced = not os.path.sameopenfile(opened, self.file)
-                self.size = os.fstat(opened).st_size if replaced else self.size
-                os.ftruncate(opened, self.size)
-                os.fsync(opened)
-                os.lseek(opened, 0, os.SEEK_END)
+                replaced = not os.path.sameopenfile(descriptor, self.file)
+                self.size = os.fstat(descriptor).st_size if replaced else self.size
+                os.ftruncate(descriptor, self.size)
+                os.fsync(descriptor)
+                os.lseek(descriptor, 0, os.SEEK_END)
                 self._sync_folder()
                 kept = read_log(self.path.read_bytes(), str(self.path))[0]
             except BaseException:
-                os.close(opened)
+                os.close(descriptor)
                 raise
-        except OSError as wrong:
-            raise Full(f"{self.path}: {wrong.strerror}") from None
+        except OSError as error:
+            raise Full(f"{self.path}: {error.strerror}") from None
         os.close(self.file)
-        self.file, self.kept, self.failed = opened, kept, False
-        self._mark(self.size)
+        self.file, self.kept, self.needs_repair = descriptor, kept, False
+        self._write_synced_size(self.size)
 
     def _write(self, rows: list[tuple[Any, ...]]) -> None:
         data = b""
@@ -232,44 +253,44 @@
             if row[0] != "snapshot":
                 data += record_of(row)
                 self.kept.take(row)
-            else:  # all before it goes: one file with the state, the vote and what lies behind
+            else:  # replaces the log by the snapshot, the vote and the entries after it
                 self.kept.take(row)
-                self._rewrite()
+                self._replace_log()
                 data = b""
         if not data:
             return
-        done = 0
-        while done < len(data):
-            done += os.write(self.file, data[done:])
+        written = 0
+        while written < len(data):
+            written += os.write(self.file, data[written:])
         os.fdatasync(self.file)
         self.size += len(data)
-        self._mark(self.size)
+        self._write_synced_size(self.size)
 
-    def _rewrite(self) -> None:
-        """One file with all that is kept, in place of the log."""
-        self._begin_anew()
-        opened = os.open(self.path, os.O_WRONLY)
+    def _replace_log(self) -> None:
+        """Replace the log file by one with the current state."""
+        self._write_log()
+        descriptor = os.open(self.path, os.O_WRONLY)
         os.close(self.file)
-        self.file = opened
+        self.file = descriptor
         self.size = os.lseek(self.file, 0, os.SEEK_END)
 
-    def _begin_anew(self) -> None:
+    def _write_log(self) -> None:
         kept = self.kept
         data = FORM + record_of(("snapshot", kept.snapshot)) + record_of(("vote", kept.term, kept.vote))
         if kept.entries:
             data += record_of(("add", kept.snapshot.upto + 1, kept.entries))
-        self._mark(0)  # of a log that is not there yet nothing is known
-        self._replace("agreement.log", data)
-        self._mark(len(data))
+        self._write_synced_size(0)  # unknown until the new log is in place
+        self._replace_file("agreement.log", data)
+        self._write_synced_size(len(data))
 
-    def _replace(self, name: str, data: bytes) -> None:
-        """The file has the old content or the new one, whatever happens."""
+    def _replace_file(self, name: str, data: bytes) -> None:
+        """Replace a file atomically: it has the old content or the new one."""
         path = self.folder / f"{name}.new"
         file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
         try:
-            done = 0
-            while done < len(data):
-                done += os.write(file, data[done:])
+            written = 0
+            while written < len(data):
+                written += os.write(file, data[written:])
             os.fsync(file)
         finally:
             os.close(file)
@@ -285,5 +306,5 @@
 
     def close(self) -> None:
         os.close(self.file)
-        os.close(self.mark)
+        os.close(self.synced_size_file)
         os.close(self.lock)
--- a/merlintally/cluster/links.py
+++ b/merlintally/cluster/links.py
@@ -48,9 +48,8 @@
 DECODERS = {call: msgspec.msgpack.Decoder(types) for call, types in FORMS.items()}
 ENVELOPE_DECODER = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
 HELLO_DECODER = msgspec.msgpack.Decoder(Hello)
-HELLO_REPLY_DECODER = msgspec.msgpack.Decoder(
-    tuple[str, str, int]
-)  # "welcome" or "refused", reason, last known start
+# "welcome" or "refused", reason, last known start
+HELLO_REPLY_DECODER = msgspec.msgpack.Decoder(tuple[str, str, int])
 
 
 class Bad(Exception):
--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -422,7 +422,7 @@
         with self.disk_lock:
             try:
                 self.disk.set_aside()
-                self.disk.started(start + 1)
+                self.disk.write_start(start + 1)
             except OSError as wrong:  # fellows tell of it again
                 self.log.say(f"cluster: the folder can't be set aside: {wrong.strerror}", "cluster.full")
                 return
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -183,7 +183,7 @@
     spoilt = bytearray(data)
     spoilt[-2] ^= 0x55
     (tmp_path / "agreement.log").write_bytes(spoilt)
-    with pytest.raises(Spoilt, match="the last record at byte .* was on disk, and is spoilt"):
+    with pytest.raises(Spoilt, match="the last record at byte .* was on disk, and is corrupt"):
         Disk(tmp_path)
     (tmp_path / "synced").unlink()  # an older program's folder, or a power cut: then nobody knows
     assert Disk(tmp_path).torn > 0
@@ -192,7 +192,7 @@
 def test_a_spoilt_record_in_the_middle_stops_the_node_and_names_the_place(tmp_path: Path) -> None:
     data = bytearray(disk_with(tmp_path))
     data[len(FORM) + 12] ^= 1
-    with pytest.raises(Spoilt, match=f"log: the record at byte {len(FORM)} is spoilt"):
+    with pytest.raises(Spoilt, match=f"log: the record at byte {len(FORM)} is corrupt"):
         read_log(bytes(data), "log")
 
 
