--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -1,5 +1,7 @@
-"""A node's part in its cluster: one task owns the core; it reaches the decisions by the dispatcher's queue
-alone."""
+"""Runs the core of a cluster node next to an edge node.
+
+One task owns the core. The decisions are only reached through the dispatcher's queue.
+"""
 
 from __future__ import annotations
 
@@ -36,21 +38,22 @@
 from merlintally.notes import told, unpack
 from merlintally.operators import ClusterPart
 
-QUEUE = 4096
-AGAIN_S = 1.0
-RATE_S = 2.0
-CLIENT_S = 10.0
-OPEN_TRIES = 20  # of the folder at a start
-OPEN_PAUSE_S = 0.2
-PASSING = frozenset({errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.EINTR, errno.ENFILE, errno.EMFILE})
-KEEP_S = 5.0  # between copies on disk
-HEARD_S = 0.4  # between words to the decisions that all is heard
-MOST_NOTES = 1024  # that wait
-MOST_DRAWN = 500.0  # units of a customer told on at once
+MAX_QUEUED_CALLS = 4096
+WRITE_RETRY_S = 1.0
+RATE_WINDOW_S = 2.0  # over which attempts per second are averaged
+REQUEST_TIMEOUT_S = 10.0  # for an operator's request
+OPEN_ATTEMPTS = 20
+OPEN_RETRY_S = 0.2
+# Errors of the disk at a start that may be temporary.
+TRANSIENT_ERRORS = frozenset({errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.EINTR, errno.ENFILE, errno.EMFILE})
+COPIES_STORE_INTERVAL_S = 5.0
+DRAWS_REFRESH_S = 0.4  # interval of notes that confirm that the draws of others are complete
+MAX_QUEUED_NOTES = 1024
+MAX_FORWARDED_UNITS = 500.0  # backlog of one customer, in units
 
 
 def plan_of(part: ClusterPart) -> Plan:
-    """What all nodes of the cluster are told alike, from the operators' file."""
+    """The shared settings of the cluster, from the section [cluster] of the operators' file."""
     return Plan(
         part.voters,
         dict(part.seeds),
@@ -63,70 +66,79 @@
     )
 
 
-class Sum:
-    """What others drew of a customer and the decisions were not told yet, as notes have it."""
+class CustomerDraws:
+    """Units of a customer that other nodes drew and that are not forwarded to the decisions yet.
+
+    `mark` and `drawn` are those of a note's row; `last_total` is the last known sum of all draws.
+    """
 
-    __slots__ = ("mark", "drawn", "heard")
+    __slots__ = ("mark", "drawn", "last_total")
 
-    def __init__(self, mark: int, heard: float) -> None:
-        self.mark, self.drawn, self.heard = mark, 0.0, heard
+    def __init__(self, mark: int, last_total: float) -> None:
+        self.mark, self.drawn, self.last_total = mark, 0.0, last_total
 
 
 class ClusterNode:
-    """Attached to an edge node with `EdgeNode(..., parts=[ClusterNode(...).run])`; it is the node's Right."""
+    """The cluster part of an edge node, attached with `EdgeNode(..., parts=[ClusterNode(...).run])`.
+
+    It decides whether the node may accept submissions and send executions.
+    """
 
-    links_type: type[Links] = Links  # another one counts what goes out, in the laboratory
+    links_type: type[Links] = Links  # replaced by the laboratory to count messages
 
     def __init__(
         self, part: ClusterPart, name: str, seed: int, disk: Disk, log: Log, record: Record | None = None
     ) -> None:
         self.part, self.name, self.disk, self.log, self.record = part, name, disk, log, record
-        self.chance = Random(seed ^ disk.start)
+        self.rng = Random(seed ^ disk.start)
         self.plan = plan_of(part)
-        self.routes = {name: address(where, f"cluster.routes.{name}") for name, where in part.routes.items()}
-        self.queue = Post(QUEUE)
+        self.routes = {
+            name: address(endpoint, f"cluster.routes.{name}") for name, endpoint in part.routes.items()
+        }
+        self.queue = Post(MAX_QUEUED_CALLS)
         self.dispatcher: Dispatcher
         self.links: Links
         self.disk_lock = Lock()
-        self.rows: list[tuple[Any, ...]] = []  # to be written, and the number of the last
-        self.number = 0
-        self.unwritten = anyio.Event()
-        self.wake_at, self.sleeping = 0.0, anyio.CancelScope()
-        self.asking: dict[str, tuple[anyio.Event, list[tuple[bool, str]]]] = {}
-        self.sent: Counter[str] = Counter()  # attempts by pool, in this stretch of time
-        self.sent_since, self.rates = time.monotonic(), dict[str, float]()
-        self.out: dict[str, int] = {}  # machines that this node holds to be out -> turn
-        self.done: set[int] = set()
-        self.able, self.careful = True, True
-        self.to_tell = anyio.Event()  # what is out has changed, or what others drew
-        self.notes: deque[bytes] = deque(maxlen=MOST_NOTES)  # of the decisions, about draws of this node
-        self.sums: dict[str, Sum] = {}
-        self.heard_at = 0.0  # when the decisions were last told that all is heard
-        self.whole = False
-        self._begin(time.monotonic())
-
-    def _begin(self, now: float) -> None:
-        me = Me(self.name, self.part.listen, self.disk.start)
+        self.unwritten_rows: list[tuple[Any, ...]] = []
+        self.last_row = 0  # sequence number of the last unwritten row
+        self.rows_available = anyio.Event()
+        self.wake_at, self.sleep_scope = 0.0, anyio.CancelScope()
+        self.pending_requests: dict[str, tuple[anyio.Event, list[tuple[bool, str]]]] = {}
+        self.sent_counts: Counter[str] = Counter()  # attempts by pool since `rates_since`
+        self.rates_since, self.rates = time.monotonic(), dict[str, float]()
+        self.machines_out: dict[str, int] = {}  # machine that is out -> number of its turn
+        self.done_turns: set[int] = set()
+        self.disk_writable, self.restricted = True, True
+        self.decisions_outdated = anyio.Event()  # machines that are out, or draws of others, have changed
+        # Notes of the decisions, with draws of this node.
+        self.queued_notes: deque[bytes] = deque(maxlen=MAX_QUEUED_NOTES)
+        self.sums: dict[str, CustomerDraws] = {}
+        self.draws_refreshed_at = 0.0  # when a note last confirmed that draws are complete
+        self.draws_complete = False
+        self._create_core(time.monotonic())
+
+    def _create_core(self, now: float) -> None:
+        identity = Me(self.name, self.part.listen, self.disk.start)
         rows = self.disk.kept_rows() if self.plan.copies is not None else []
-        chance = Random(self.chance.random())
-        self.core = Cluster(me, self.plan, self.disk.kept, chance, now, self.disk.blank, rows=rows)
-        self.number = 0
+        core_rng = Random(self.rng.random())
+        self.core = Cluster(identity, self.plan, self.disk.kept, core_rng, now, self.disk.blank, rows=rows)
+        self.last_row = 0
 
-    # The node's right, looked up at each use.
+    # Permissions, checked for each submission and each send.
 
     def may_take(self) -> bool:
         return self.core.may_take(time.monotonic())
 
     def may_send(self, server: str) -> bool:
-        may = self.core.may_send(server, time.monotonic())
-        if may and (machine := self.core.edge.machines.get(server)) is not None:
-            self.sent[machine.pool] += 1
-        return may
+        allowed = self.core.may_send(server, time.monotonic())
+        if allowed and (machine := self.core.edge.machines.get(server)) is not None:
+            self.sent_counts[machine.pool] += 1
+        return allowed
 
-    # Its tasks.
+    # Tasks.
 
     async def run(self, node: EdgeNode, dispatcher: Dispatcher) -> None:
-        """Stand beside a node until cancelled."""
+        """Run next to an edge node until cancelled."""
         self.dispatcher, dispatcher.right = dispatcher, self
         if self.plan.copies is not None and dispatcher.peers is None:
             dispatcher.peers = self
@@ -138,208 +150,215 @@
             self.name,
             self.disk.start,
             listen,
-            self.chance,
+            self.rng,
             self.log,
-            self._hear,
-            self._where,
-            self._told_older,
+            self._on_message,
+            self._resolve,
+            self._on_newer_start,
             self.ask,
         )
         if self.disk.torn:
             self.log.say(
-                f"cluster: {self.disk.torn} bytes of a last record that was not whole are cut off",
+                f"cluster: truncated {self.disk.torn} bytes of an incomplete last record",
                 "cluster.torn",
                 bytes=self.disk.torn,
             )
         if self.disk.blank:
             self.log.say(
-                "cluster: the folder holds no log; this node votes once it was let in", "cluster.blank"
+                "cluster: the folder has no log; this node votes once it has been added to the voters",
+                "cluster.blank",
             )
         if self.record is not None:
             self.record.add("start", blank=self.disk.blank)
         async with anyio.create_task_group() as group:
             group.start_soon(self.links.run, group)
-            group.start_soon(self._write)
-            group.start_soon(self._wake)
-            group.start_soon(self._leave, node)
-            group.start_soon(self._tell_keeper)
+            group.start_soon(self._write_rows)
+            group.start_soon(self._run_timer)
+            group.start_soon(self._leave_on_shutdown, node)
+            group.start_soon(self._update_decisions)
             if self.plan.copies is not None:
-                group.start_soon(self._keep_copies)
+                group.start_soon(self._store_copies)
             await self.queue.post(lambda: None)
-            await self.queue.run(self._do, self._settle)
+            await self.queue.run(self._run_call, self._process_results)
 
-    def _do(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Guards against one bad message that takes the node with it."""
+    def _run_call(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+        """Run a queued call; an exception is logged, and must not end the task that owns the core."""
         try:
             call(*args)
         except Exception:
             self.log.say(f"cluster: a call failed: {traceback.format_exc()}", "cluster.failed")
 
-    async def _hear(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
-        await self.queue.post(self._heard, sender, call, args)
+    async def _on_message(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
+        await self.queue.post(self._handle_message, sender, call, args)
 
-    def _heard(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
+    def _handle_message(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
         self.core.hear(time.monotonic(), sender, call, args)
 
-    async def _wake(self) -> None:
+    async def _run_timer(self) -> None:
         while True:
-            with anyio.CancelScope() as self.sleeping:
+            with anyio.CancelScope() as self.sleep_scope:
                 await anyio.sleep(max(0.0, self.wake_at - time.monotonic()))
             if time.monotonic() >= self.wake_at:
                 self.wake_at = time.monotonic() + self.part.heartbeat_s
-                await self.queue.post(self._woken)
+                await self.queue.post(self._handle_timer)
 
-    def _woken(self) -> None:
+    def _handle_timer(self) -> None:
         now = time.monotonic()
-        if now - self.sent_since > RATE_S:
-            self.rates = {pool: count / (now - self.sent_since) for pool, count in self.sent.items()}
-            self.sent, self.sent_since = Counter(), now
+        if now - self.rates_since > RATE_WINDOW_S:
+            self.rates = {pool: count / (now - self.rates_since) for pool, count in self.sent_counts.items()}
+            self.sent_counts, self.rates_since = Counter(), now
         shown, fleet = self.dispatcher.shown or {}, self.dispatcher.fleet
         servers = self.core.edge.machines
         turns = self.core.work.turns
         busy = frozenset(
             server for server, machine in servers.items() if machine.name in turns and fleet.busy(server)
         )
-        off = tuple(
+        unlisted = tuple(
             sorted(
                 server for server in servers if server not in shown or shown[server].facts.presence != "on"
             )
         )
         self._drawn(now)
-        self.core.local = Local(busy, not self.dispatcher.open_requests, off, self.rates)
+        self.core.local = Local(busy, not self.dispatcher.open_requests, unlisted, self.rates)
         self.core.wake(now)
-        careful = now >= self.core.edge.until + self.part.lease_s
-        if careful != self.careful:
-            self.careful = careful
-            self._tell("careful", {"thing": "work"}) if careful else self._tell_acts()
+        restricted = now >= self.core.edge.until + self.part.lease_s
+        if restricted != self.restricted:
+            self.restricted = restricted
+            self._tell("careful", {"thing": "work"}) if restricted else self._record_applied_work()
 
-    async def _leave(self, node: EdgeNode) -> None:
+    async def _leave_on_shutdown(self, node: EdgeNode) -> None:
         await node.phases.reached(Phase.LEAVING)
         await self.queue.post(lambda: self.core.leave(time.monotonic()))
 
-    async def _tell_keeper(self) -> None:
+    async def _update_decisions(self) -> None:
         while True:
-            await self.to_tell.wait()
-            self.to_tell = anyio.Event()
+            await self.decisions_outdated.wait()
+            self.decisions_outdated = anyio.Event()
             await self.dispatcher.post(self.dispatcher.take_out, self.core.edge.out())
-            while self.whole and (note := told(self.sums.values())):
+            while self.draws_complete and (note := told(self.sums.values())):
                 await self.dispatcher.post(self.dispatcher.noted, FELLOWS, note)
-            if self.whole:
+            if self.draws_complete:
                 await self.dispatcher.post(self.dispatcher.noted, FELLOWS, b"")
 
-    # Draws: to the copies, and what others drew to the decisions, as notes.
+    # Draws of this node go to the copies; draws of others go to the decisions as notes.
 
     def tell(self, payload: bytes) -> None:
-        """A note of the decisions, which would go to all others: what this node drew."""
-        self.notes.append(payload)
+        """Accept a note of the decisions with draws of this node, in place of sending it to all others."""
+        self.queued_notes.append(payload)
 
     def _drawn(self, now: float) -> None:
         copies = self.core.copies
         if copies is None:
             return
-        while self.notes:
-            for mark, units in unpack(self.notes.popleft()):
+        while self.queued_notes:
+            for mark, units in unpack(self.queued_notes.popleft()):
                 copies.draw(now, f"{mark:08x}", units)
-        self.whole = self.core.hears_all(now)
-        if self.whole and now - self.heard_at > HEARD_S:
-            self.heard_at = now
-            self.to_tell.set()
+        self.draws_complete = self.core.hears_all(now)
+        if self.draws_complete and now - self.draws_refreshed_at > DRAWS_REFRESH_S:
+            self.draws_refreshed_at = now
+            self.decisions_outdated.set()
 
     def _summed(self, sums: list[tuple[str, float]]) -> None:
-        """The first sum of a customer is where it stands; only what is drawn from then on is news. Guards
-        against draws of a minute ago, long refilled, that empty a store."""
+        """Add the increase of each customer's sum to its backlog.
+
+        The first sum is the base and is not added: it may contain old draws that have been refilled since.
+        """
         for customer, units in sums:
-            one = self.sums.get(customer)
-            if one is None:
-                self.sums[customer] = Sum(int(customer, 16), units)
+            draws = self.sums.get(customer)
+            if draws is None:
+                self.sums[customer] = CustomerDraws(int(customer, 16), units)
             else:
-                # Guards against a faulty node's sum that can't be, handed on in notes for ever: what is
-                # beyond a store takes nothing from it anyhow.
-                one.drawn, one.heard = min(MOST_DRAWN, one.drawn + units - one.heard), units
+                # Bounds the number of notes that an absurd sum of a faulty node causes. Draws beyond the
+                # size of a store have no further effect.
+                draws.drawn, draws.last_total = (
+                    min(MAX_FORWARDED_UNITS, draws.drawn + units - draws.last_total),
+                    units,
+                )
         if self.core.copies is not None and len(self.sums) > 2 * len(self.core.copies.sums) + 64:
-            self.sums = {key: one for key, one in self.sums.items() if key in self.core.copies.sums}
-        self.to_tell.set()
+            self.sums = {key: draws for key, draws in self.sums.items() if key in self.core.copies.sums}
+        self.decisions_outdated.set()
 
-    async def _keep_copies(self) -> None:
-        """A head start for the next time, now and then."""
+    async def _store_copies(self) -> None:
+        """Store copies on disk periodically, as hints for the next start."""
         while True:
-            await anyio.sleep(KEEP_S)
+            await anyio.sleep(COPIES_STORE_INTERVAL_S)
             copies = self.core.copies
-            if copies is not None and self.able:
+            if copies is not None and self.disk_writable:
                 with suppress(OSError):
                     await anyio.to_thread.run_sync(self.disk.keep, copies.store_rows())
 
-    async def _write(self) -> None:
-        """Rows go to disk in batches, in a thread; what is promised waits for it."""
+    async def _write_rows(self) -> None:
+        """Write rows in batches in a thread; messages that depend on them wait until they are synced."""
         while True:
-            if not self.rows:
-                self.unwritten = anyio.Event()
-                await self.unwritten.wait()
-            rows, self.rows = self.rows, []
-            number, core = self.number, self.core
+            if not self.unwritten_rows:
+                self.rows_available = anyio.Event()
+                await self.rows_available.wait()
+            rows, self.unwritten_rows = self.unwritten_rows, []
+            number, core = self.last_row, self.core
             while True:
                 try:
-                    await anyio.to_thread.run_sync(self._put, core, rows)
+                    await anyio.to_thread.run_sync(self._write_locked, core, rows)
                     break
-                except Full as full:
-                    if self.able:
-                        self.able = False
+                except Full as failure:
+                    if self.disk_writable:
+                        self.disk_writable = False
                         self.log.say(
-                            f"cluster: the disk takes nothing more; this node steps back and goes on "
-                            f"serving: {full}",
+                            f"cluster: writes to disk fail; this node gives up leadership and continues "
+                            f"to serve: {failure}",
                             "cluster.full",
                         )
                         await self.queue.post(lambda: self.core.set_can_lead(time.monotonic(), False))
-                    await anyio.sleep(AGAIN_S)
-            if not self.able:
-                self.able = True
-                self.log.say("cluster: the disk takes rows again", "cluster.room")
+                    await anyio.sleep(WRITE_RETRY_S)
+            if not self.disk_writable:
+                self.disk_writable = True
+                self.log.say("cluster: writes to disk succeed again", "cluster.room")
                 await self.queue.post(lambda: self.core.set_can_lead(time.monotonic(), True))
             if core is self.core:
-                await self.queue.post(self._synced, core, number)
+                await self.queue.post(self._rows_synced, core, number)
 
-    def _put(self, core: Cluster, rows: list[tuple[Any, ...]]) -> None:
+    def _write_locked(self, core: Cluster, rows: list[tuple[Any, ...]]) -> None:
         with self.disk_lock:
-            if core is self.core:  # guards against rows of a core whose folder was set aside meanwhile
+            if core is self.core:  # its log may have been replaced meanwhile
                 self.disk.write(rows)
 
-    def _synced(self, core: Cluster, number: int) -> None:
+    def _rows_synced(self, core: Cluster, number: int) -> None:
         if core is self.core:
             core.synced(time.monotonic(), number)
 
-    def _settle(self) -> None:
-        """Carry out what the core wants."""
-        found = self.core.take_results()
-        if found.persist:
-            self.rows += found.persist
-            self.number = found.number
-            self.unwritten.set()
-        for to, call, args in found.sends:
+    def _process_results(self) -> None:
+        """Process the outputs of the core."""
+        results = self.core.take_results()
+        if results.persist:
+            self.unwritten_rows += results.persist
+            self.last_row = results.number
+            self.rows_available.set()
+        for to, call, args in results.sends:
             (self.links.send if call.startswith(STREAMED) else self.links.tell)(to, call, args)
-        for id_, ok, text in found.answers:
-            if (waiting := self.asking.pop(id_, None)) is not None:
-                waiting[1].append((ok, text))
-                waiting[0].set()
-        for event, fields in found.events:
+        for request_id, ok, text in results.answers:
+            if (pending := self.pending_requests.pop(request_id, None)) is not None:
+                pending[1].append((ok, text))
+                pending[0].set()
+        for event, fields in results.events:
             self._tell(event, fields)
-        if found.work_changed:
-            self._changed()
-        if found.sums:
-            self._summed(found.sums)
+        if results.work_changed:
+            self._publish_work()
+        if results.sums:
+            self._summed(results.sums)
         if self.disk.blank and not self.core.raft.blank:
-            with suppress(OSError):  # it is asked for again the next time
+            with suppress(OSError):  # retried with the next outputs
                 self.disk.admitted()
-        if found.wake_at < self.wake_at or self.wake_at <= time.monotonic():
-            self.wake_at = found.wake_at
-            self.sleeping.cancel()
+        if results.wake_at < self.wake_at or self.wake_at <= time.monotonic():
+            self.wake_at = results.wake_at
+            self.sleep_scope.cancel()
 
-    def _tell_acts(self) -> None:
-        """From now on it acts on this."""
+    def _record_applied_work(self) -> None:
+        """Record which version of the work state this node acts on from now on."""
         work = self.core.work
         if self.record is not None:
             self.record.add("acts", thing="work", version=work.index, digest=zlib.crc32(work.encode()))
 
     def _tell(self, event: str, fields: dict[str, Any]) -> None:
+        """Write an event to the record and to the log."""
         if event == "committed":
             if self.record is not None:
                 digest = zlib.crc32(self.core.work.encode()) if fields["index"] == self.core.work.index else 0
@@ -347,17 +366,17 @@
             return
         if self.record is not None:
             self.record.add(event, **fields)
-        told = " ".join(f"{key} {value}" for key, value in fields.items())
-        self.log.say(f"cluster: {event}: {told}", f"cluster.{event}", **fields)
+        details = " ".join(f"{key} {value}" for key, value in fields.items())
+        self.log.say(f"cluster: {event}: {details}", f"cluster.{event}", **fields)
 
-    def _changed(self) -> None:
-        """What is agreed about machines has changed: the decisions are told, and the record."""
+    def _publish_work(self) -> None:
+        """Publish a changed work state to the record, the log and the decisions."""
         work = self.core.work
-        self._tell_acts()
+        self._record_applied_work()
         for turn in work.turns.values():
             machine = work.machines[turn.machine]
-            if turn.state == OUT and self.out.get(turn.machine) != turn.number:
-                self.out[turn.machine] = turn.number
+            if turn.state == OUT and self.machines_out.get(turn.machine) != turn.number:
+                self.machines_out[turn.machine] = turn.number
                 request = work.requests.get(turn.request)
                 limits = request.budget if request is not None else None
                 rows = work.machines.values()
@@ -373,49 +392,49 @@
                         if limits is None
                         else {
                             "total": most(limits.total, len(work.machines)),
-                            "pool": most(limits.pool, sum(one.pool == machine.pool for one in rows)),
-                            "zone": most(limits.zone, sum(one.zone == machine.zone for one in rows)),
+                            "pool": most(limits.pool, sum(other.pool == machine.pool for other in rows)),
+                            "zone": most(limits.zone, sum(other.zone == machine.zone for other in rows)),
                         },
                     },
                 )
-            elif turn.state == RETURNING and turn.number not in self.done:
-                self.done.add(turn.number)
+            elif turn.state == RETURNING and turn.number not in self.done_turns:
+                self.done_turns.add(turn.number)
                 self._tell("done", {"machine": turn.machine, "number": turn.number})
             elif turn.state == GRANTED and self.name in machine.edges:
                 self.log.say(
-                    f"cluster: turn {turn.number} of {turn.machine} is granted: nothing new is taken",
+                    f"cluster: turn {turn.number} of {turn.machine} is granted: new submissions are refused",
                     "cluster.parked",
                     machine=turn.machine,
                     number=turn.number,
                 )
-        for name, number in list(self.out.items()):
+        for name, number in list(self.machines_out.items()):
             if name not in work.turns or work.turns[name].number != number:
-                del self.out[name]
-                self.done.discard(number)
+                del self.machines_out[name]
+                self.done_turns.discard(number)
                 self._tell("back", {"machine": name, "number": number})
-        self.to_tell.set()
+        self.decisions_outdated.set()
 
-    # What links and operators ask.
+    # Callbacks of the links, and requests.
 
-    def _where(self, name: str) -> Address | None:
+    def _resolve(self, name: str) -> Address | None:
         if name in self.routes:
             return self.routes[name]
-        one = self.core.members.known.get(name)
-        where = one.address if one is not None else self.plan.seeds.get(name, "")
-        host, _, port = where.rpartition(":")
+        member = self.core.members.known.get(name)
+        endpoint = member.address if member is not None else self.plan.seeds.get(name, "")
+        host, _, port = endpoint.rpartition(":")
         return (host, int(port)) if host and port.isdecimal() else None
 
-    async def _told_older(self, start: int) -> None:
-        await self.queue.post(self._older, start)
+    async def _on_newer_start(self, start: int) -> None:
+        await self.queue.post(self._reset_folder, start)
 
-    def _older(self, start: int) -> None:
-        """Fellows know of a later start: this folder is an older one's, and what it promised since is
-        lost."""
+    def _reset_folder(self, start: int) -> None:
+        """Replace the log by an empty one: other nodes have seen a later start, so this folder is outdated
+        and later promises of this node are lost."""
         if start < self.disk.start:
             return
         self.log.say(
-            f"cluster: this folder is older than what others know (start {start}): it is set aside, and the "
-            "node begins anew",
+            f"cluster: this folder is older than what others know (start {start}): its log is moved aside, "
+            "and the node starts with an empty one",
             "cluster.older",
             start=start,
         )
@@ -423,36 +442,38 @@
             try:
                 self.disk.set_aside()
                 self.disk.write_start(start + 1)
-            except OSError as wrong:  # fellows tell of it again
-                self.log.say(f"cluster: the folder can't be set aside: {wrong.strerror}", "cluster.full")
+            except OSError as error:  # retried when a node refuses the next stream
+                self.log.say(f"cluster: the log can't be moved aside: {error.strerror}", "cluster.full")
                 return
             self.disk.start = start + 1
             self.links.start = self.disk.start
-            self.rows = []
-            self._begin(time.monotonic())
+            self.unwritten_rows = []
+            self._create_core(time.monotonic())
         if self.record is not None:
             self.record.start = self.disk.start
             self.record.add("start", blank=True)
 
-    async def ask(self, id_: str, verb: str, args: list[Any]) -> tuple[bool, str]:
-        """A question or request of an operator's; gives whether it was done, and the answer or why not."""
-        event, found = anyio.Event(), list[tuple[bool, str]]()
-        self.asking[id_] = (event, found)
-        await self.queue.post(lambda: self.core.ask(time.monotonic(), id_, verb, args))
-        with anyio.move_on_after(CLIENT_S):
-            await event.wait()
-        self.asking.pop(id_, None)
-        return found[0] if found else (False, "no answer in time; ask again with the same id")
+    async def ask(self, request_id: str, verb: str, args: list[Any]) -> tuple[bool, str]:
+        """Handle a request of an operator; returns whether it succeeded, and the answer or the reason."""
+        answered, answers = anyio.Event(), list[tuple[bool, str]]()
+        self.pending_requests[request_id] = (answered, answers)
+        await self.queue.post(lambda: self.core.ask(time.monotonic(), request_id, verb, args))
+        with anyio.move_on_after(REQUEST_TIMEOUT_S):
+            await answered.wait()
+        self.pending_requests.pop(request_id, None)
+        return answers[0] if answers else (False, "no answer in time; ask again with the same id")
 
 
 def open_disk(part: ClusterPart) -> Disk:
-    """The node's folder; OSError or Spoilt say why it can't be used. One whose writes fail, or that is full,
-    is tried again for some seconds: it may be so for a moment only."""
-    for _ in range(OPEN_TRIES - 1):
+    """Open the node's folder; OSError or Spoilt if it can't be used.
+
+    Failed writes and a full disk are retried for some seconds, as they may be temporary.
+    """
+    for _ in range(OPEN_ATTEMPTS - 1):
         try:
             return Disk(Path(part.folder))
-        except OSError as wrong:
-            if wrong.errno not in PASSING:
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRORS:
                 raise
-        time.sleep(OPEN_PAUSE_S)
+        time.sleep(OPEN_RETRY_S)
     return Disk(Path(part.folder))
