--- a/merlintally/cluster/__init__.py
+++ b/merlintally/cluster/__init__.py
@@ -1,4 +1,7 @@
-"""Many nodes as one: agreement, members and the order of work. Nothing of it is loaded without [cluster]."""
+"""Edge nodes as a cluster: Raft, membership, work coordination and state copies.
 
-FELLOWS = -1  # as whom the decisions hear all other nodes together, where use is told by copies
-UNWELL = 0.1  # share of the members that may be suspected or dead where the others count as hearing all
+Nothing of this package is imported without a section [cluster] in the operators' file.
+"""
+
+FELLOWS = -1  # sender of notes to the decisions that combine the draws of all other nodes
+UNWELL = 0.1  # share of members that may be suspect or dead while draws still count as complete
--- a/merlintally/cluster/bounds.py
+++ b/merlintally/cluster/bounds.py
@@ -1,5 +1,4 @@
-"""The times that the settings promise, computed at one place: `cluster explain` prints them with their
-parts."""
+"""Upper bounds that follow from the settings of a cluster; `merlintally cluster explain` prints them."""
 
 from __future__ import annotations
 
@@ -10,52 +9,54 @@
 from merlintally.cluster.work.coordinator import Terms
 from merlintally.operators import ClusterPart
 
-SENT_S = 0.3  # the longest that a message and its write to disk are taken to last where nothing is at fault
+MAX_MESSAGE_S = 0.3  # delivery of a message and its write to disk, without faults
 
 
-class Stated(NamedTuple):
-    """A time in seconds and what it is made of."""
+class StatedBound(NamedTuple):
+    """An upper bound in seconds and the terms that it is the sum of."""
 
     name: str
     stated_s: float
     parts: str
 
 
-def bounds_of(part: ClusterPart) -> list[Stated]:
-    """
+def bounds_of(part: ClusterPart) -> list[StatedBound]:
+    """The bounds of a cluster with these settings.
+
     >>> [(row.name, round(row.stated_s, 2)) for row in bounds_of(ClusterPart())]
     [('new leader', 3.9), ('right gone', 9.12), ('work goes on', 13.52)]
     """
     terms = Terms(part.lease_s, part.renew_s, part.drift_share, part.warm_s, part.longest_s)
-    # the old one is missed, one vote may be split, then a vote ahead and a vote
-    elected = 2 * 2 * part.election_s * (1 + part.drift_share) + part.election_s + 4 * SENT_S + 0.16
-    elected = round(elected, 1)
+    # Two election timeouts (one election may end in a split vote), then a pre-vote and a vote.
+    elected_s = 2 * 2 * part.election_s * (1 + part.drift_share) + part.election_s + 4 * MAX_MESSAGE_S + 0.16
+    elected_s = round(elected_s, 1)
     copies = CopyTerms()
-    equal = (part.copies - 1) * SHARDS * copies.compare_s + 6 * SENT_S if part.copies > 1 else 0.0
-    compared = [
-        Stated(
+    equal_s = (part.copies - 1) * SHARDS * copies.compare_s + 6 * MAX_MESSAGE_S if part.copies > 1 else 0.0
+    copies_bound = [
+        StatedBound(
             "copies equal",
-            equal,
+            equal_s,
             f"{SHARDS} shards, one each {copies.compare_s:g} s, with each of {part.copies - 1} other "
-            f"holders, and 6 messages of {SENT_S:g}; while all holders are well and the byte budget suffices",
+            f"holders, and 6 messages of {MAX_MESSAGE_S:g}; while all holders are healthy and the byte "
+            "budget suffices",
         )
     ]
-    return (compared if equal else []) + [
-        Stated(
+    return (copies_bound if equal_s else []) + [
+        StatedBound(
             "new leader",
-            elected,
+            elected_s,
             f"2 x 2 x election_s ({part.election_s:g}) for one split vote, election_s until votes are given, "
-            f"4 messages of {SENT_S:g}, drift",
+            f"4 messages of {MAX_MESSAGE_S:g}, drift",
         ),
-        Stated(
+        StatedBound(
             "right gone",
             terms.silent_s,
             f"lease_s ({part.lease_s:g}) by the slowest clock, drift_share "
             f"({part.drift_share:g}) either way, and the longest send, longest_s ({part.longest_s:g})",
         ),
-        Stated(
+        StatedBound(
             "work goes on",
-            elected + terms.silent_s + part.renew_s,
-            "new leader, then a right that the old one may have given, then one renewal",
+            elected_s + terms.silent_s + part.renew_s,
+            "new leader, then the end of a right that the old leader may have given, then one renewal",
         ),
     ]
--- a/merlintally/cluster/record.py
+++ b/merlintally/cluster/record.py
@@ -1,4 +1,4 @@
-"""A node's own record: one JSON object a line, of what it did and when, for those who check it afterwards."""
+"""A node's record of what it did and when, one JSON object per line, for checks after a run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Record:
-    """Lines go out at once, so that a killed process leaves all that it has done. Times are CLOCK_MONOTONIC
+    """Writes each line at once, so that the record of a killed process is complete. Times are CLOCK_MONOTONIC
     seconds, comparable on one machine."""
 
     def __init__(self, path: str | Path, node: str, start: int) -> None:
@@ -24,6 +24,7 @@
         self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
     def add(self, event: str, **fields: Any) -> None:
+        """Write one event."""
         row = {
             "at": round(time.monotonic(), 6),
             "node": self.node,
@@ -31,12 +32,12 @@
             "event": event,
             **fields,
         }
-        with suppress(OSError):  # a full disk ends neither the node nor its service
+        with suppress(OSError):  # the node continues when the disk is full
             os.write(self.file, self.encode(row) + b"\n")
 
 
 def starts_in(path: str | Path) -> int:
-    """How many starts of a node its record tells of."""
+    """The number of starts of a node in its record; 0 if there is no record yet."""
     try:
         return Path(path).read_bytes().count(b'"event":"start"')
     except FileNotFoundError:
@@ -44,14 +45,17 @@
 
 
 class RecordingLog(Log):
-    """A log that also hands steps of requests to a record, whether they are wanted as lines or not."""
+    """A log that also writes answers to submissions to a record.
+
+    `lines` enables log lines about steps of submissions and executions.
+    """
 
     def __init__(
         self, name: str, per_second: float, stream: TextIO | None = None, style: Style | None = None
     ) -> None:
         super().__init__(name, per_second, stream, style)
         self.record: Record | None = None
-        self.lines = False  # whether steps are wanted as lines, too
+        self.lines = False
 
     def say(self, text: str, event: str = "said", **fields: object) -> None:
         if event.startswith(("submission.", "execution.")):
