--- a/merlintally/cluster/agreement/core.py
+++ b/merlintally/cluster/agreement/core.py
@@ -84,9 +84,7 @@
 
     persist: list[tuple[Any, ...]] = field(default_factory=list)
     number: int = 0  # sequence number of the last row of `persist`
-    sends: list[tuple[str, str, tuple[Any, ...]]] = field(
-        default_factory=list
-    )  # receiver, message, arguments
+    sends: list[tuple[str, str, tuple[Any, ...]]] = field(default_factory=list)  # to, message, arguments
     restored: Snapshot | None = None  # replaces the state before `applied` is applied
     applied: list[tuple[int, Entry]] = field(default_factory=list)  # index, committed entry
     reads: list[tuple[Any, int]] = field(default_factory=list)  # token, index to apply before answering
@@ -231,7 +229,7 @@
         self._append_entry(Entry(self.term, CONFIG, config.encode()))
         return True
 
-    def forget(self, name: str) -> None:
+    def forget_peer(self, name: str) -> None:
         """Discard the replication progress of a peer that has lost its log."""
         self.peers.pop(name, None)
 
@@ -322,7 +320,7 @@
                 self._send(name, "asked", args, durable=not pre_vote)
 
     def _asked(
-        self, sender: str, term: int, pre_vote: bool, forced: bool, last_index: int, last_term: int
+        self, sender: str, term: int, pre_vote: bool, forced: bool, candidate_index: int, candidate_term: int
     ) -> None:
         if not forced and (
             self.role == "leader" or self.now - self.leader_contact_at < self.settings.election_s
@@ -330,7 +328,7 @@
             return  # a leader is active: a node that lost contact to it must not disrupt it
         if term > self.term and not pre_vote:
             self._become_follower(term)
-        up_to_date = (last_term, last_index) >= (
+        up_to_date = (candidate_term, candidate_index) >= (
             self.log.last_term,
             self.log.last,
         ) or "votes for a shorter log" in self.mistakes
@@ -660,11 +658,11 @@
             self._send_snapshot_chunk(sender, peer)
 
     def _install_snapshot(self, replacement: Snapshot) -> None:
-        last_index = self.log.last
-        if "snapshot without its state" in self.mistakes and last_index > replacement.upto:
+        log_end = self.log.last
+        if "snapshot without its state" in self.mistakes and log_end > replacement.upto:
             self.log.entries = self.log.entries[replacement.upto - self.log.snapshot.upto :]
             self.log.snapshot = replacement
-        elif not self.log.restore_from(replacement) and last_index > replacement.upto:
+        elif not self.log.restore_from(replacement) and log_end > replacement.upto:
             self._truncate_log(replacement.upto + 1)
         self.configs = [(replacement.upto, replacement.config)] + [
             one for one in self.configs if one[0] > replacement.upto
@@ -690,7 +688,6 @@
             self.applied += 1
             entry = self.log.entry(self.applied)
             if entry.kind == CONFIG and self.name not in decode_config(entry.data).voters:
-                self.blank = (
-                    False  # removed from the voters: promises of its former membership no longer bind
-                )
+                # Removed from the voters: promises of its former membership no longer bind.
+                self.blank = False
             self.results.applied.append((self.applied, entry))
--- a/merlintally/cluster/core.py
+++ b/merlintally/cluster/core.py
@@ -70,11 +70,11 @@
 class Local:
     """Local observations, updated before each `wake`."""
 
-    busy: frozenset[str] = frozenset()  # app servers with executions in progress
+    busy_servers: frozenset[str] = frozenset()  # app servers with executions in progress
     idle: bool = True  # whether all accepted submissions were answered
-    off: tuple[str, ...] = ()  # app servers that discovery does not list as on
+    unlisted_servers: tuple[str, ...] = ()  # app servers that discovery does not list as on
     rates: dict[str, float] = field(default_factory=dict)  # attempts per second, by pool
-    wants: dict[str, int] = field(default_factory=dict)  # requested thousandths of ceilings, by customer
+    requested_shares: dict[str, int] = field(default_factory=dict)  # in thousandths of ceilings, by customer
 
 
 @dataclass(slots=True)
@@ -83,9 +83,7 @@
 
     persist: list[tuple[Any, ...]] = field(default_factory=list)  # rows for the disk, in order
     number: int = 0  # sequence number of the last row
-    sends: list[tuple[str, str, tuple[Any, ...]]] = field(
-        default_factory=list
-    )  # receiver, message, arguments
+    sends: list[tuple[str, str, tuple[Any, ...]]] = field(default_factory=list)  # to, message, arguments
     answers: list[tuple[str, bool, str]] = field(default_factory=list)  # to local callers: id, success, text
     events: list[tuple[str, dict[str, Any]]] = field(default_factory=list)  # for the record and the log
     work_changed: bool = False  # whether the agreed work state has changed
@@ -103,12 +101,14 @@
         stored: Kept,
         random: Random,
         now: float,
-        blank: bool = False,
+        lost_state: bool = False,
         mistakes: frozenset[str] = frozenset(),
         rows: Iterable[Row] = (),
     ) -> None:
-        """`stored` is the persistent state read from disk; `blank` marks a node that has lost it. `rows` are
-        stored copies, used as hints until they are compared with those of other nodes."""
+        """`stored` is the persistent state read from disk; `lost_state` marks a node that has lost it.
+
+        `rows` are stored copies, used as hints until they are compared with those of other nodes.
+        """
         self.identity, self.settings, self.random, self.now, self.mistakes = (
             identity,
             settings,
@@ -123,7 +123,7 @@
             settings.pace,
             Random(random.random()),
             now,
-            blank,
+            lost_state,
             mistakes,
         )
         self.members = Members(
@@ -463,29 +463,33 @@
         report = Report(
             self.identity.start,
             self.work.index,
-            self.edge.turns_of(local.busy),
+            self.edge.turns_of(local.busy_servers),
             local.idle,
-            local.off,
+            local.unlisted_servers,
             local.rates,
-            local.wants,
+            local.requested_shares,
         )
         if to == self.identity.name:
             self._on_renew(to, self.now, report, self.raft.blank)
         else:
             self._reply(to, "w.renew", (self.now, report, self.raft.blank))
 
-    def _on_renew(self, sender: str, sent_at: float, report: Report, blank: bool) -> None:
+    def _on_renew(self, sender: str, sent_at: float, report: Report, lost_state: bool) -> None:
         if self.raft.role != "leader":
             self._reply(sender, "w.elsewhere", (sent_at, self._known_leader()))
             return
-        if blank and sender in self.raft.config.voters and self.removed_voters.get(sender) != report.start:
+        if (
+            lost_state
+            and sender in self.raft.config.voters
+            and self.removed_voters.get(sender) != report.start
+        ):
             # Its promises are lost: remove it from the voters. It is added again once it has caught up.
             voters = tuple(name for name in self.raft.config.voters if name != sender)
             if self._change(Config(voters, (*self.raft.config.learners, sender))):
                 self.removed_voters[sender] = report.start
-                self.raft.forget(sender)
+                self.raft.forget_peer(sender)
                 self.events.append(("blank", {"who": sender, "its_start": report.start}))
-        self.queued_renewals.append((sender, sent_at, report, blank))
+        self.queued_renewals.append((sender, sent_at, report, lost_state))
         if len(self.queued_renewals) == 1:  # one heartbeat round serves all renewals queued until then
             self.step_at = min(self.step_at, self.now + 0.005)
 
@@ -500,10 +504,10 @@
 
     def _round_confirmed(self, token: int, index: int) -> None:
         """Answer the renewals of a round: this node was still the leader when the round began."""
-        for node, sent_at, report, blank in self.renewal_rounds.pop(token, []):
+        for node, sent_at, report, lost_state in self.renewal_rounds.pop(token, []):
             if self.coordinator is not None:
                 self.coordinator.renewed(self.now, node, report)
-                (self.coordinator.blank.add if blank else self.coordinator.blank.discard)(node)
+                (self.coordinator.blank.add if lost_state else self.coordinator.blank.discard)(node)
             state, entries = b"", list[tuple[int, Entry]]()
             if report.acts_on < self.raft.log.snapshot.upto:
                 state = self.work.encode()
@@ -661,7 +665,9 @@
         dead = [
             name
             for name, member in self.members.known.items()
-            if member.state in (DEAD, LEFT) or not self.members.steady(name, self.now) and member.state == 0
+            if member.state in (DEAD, LEFT)
+            or not self.members.is_stable(name, self.now)
+            and member.state == 0
         ]
         rates: dict[str, float] = {}
         for report in recent:
--- a/merlintally/cluster/members/core.py
+++ b/merlintally/cluster/members/core.py
@@ -146,7 +146,7 @@
         """Names of the members that are alive or suspect, sorted."""
         return sorted(name for name, member in self.known.items() if member.state <= SUSPECT)
 
-    def steady(self, name: str, now: float) -> bool:
+    def is_stable(self, name: str, now: float) -> bool:
         """Whether a member is alive and has not died repeatedly within the last minutes."""
         member = self.known.get(name)
         return (
