--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,5 +1,5 @@
-"""Nodes of a cluster: frames between them, the operators' file, real processes with faults, and their
-records."""
+"""Cluster nodes: frames, the section [cluster] of the operators' file, records, and real processes under
+faults."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from merlintally.net.log import Log
 from merlintally.operators import read_operators
 
-Heard = list[tuple[str, str, tuple[Any, ...]]]
+Messages = list[tuple[str, str, tuple[Any, ...]]]  # sender, message, arguments
 COPYING = Plan(("n0", "n1"), {"n0": "n0:1", "n1": "n1:1"}, copies=CopyTerms())
 
 
 # Frames.
 
 
-def test_what_is_spoilt_or_of_another_cluster_is_not_opened() -> None:
+def test_frames_that_are_corrupt_or_of_another_cluster_are_rejected() -> None:
     sealed = Codec("one", "secret").seal(b"body")
     assert Codec("one", "secret").open(sealed) == b"body"
     for other, data in (
@@ -63,12 +63,12 @@
         msgspec.msgpack.encode(("w.renew", (0.0, {}, True))),
     ],
 )
-def test_nonsense_is_no_call(body: bytes) -> None:
+def test_invalid_messages_are_rejected(body: bytes) -> None:
     with pytest.raises(Bad):
         call_of(body)
 
 
-def test_every_call_has_a_form_and_somebody_who_hears_it() -> None:
+def test_every_message_type_has_a_handler() -> None:
     from merlintally.cluster.agreement import Raft
     from merlintally.cluster.copies import Copies
     from merlintally.cluster.members import Members
@@ -84,29 +84,29 @@
         assert callable(getattr(owner, prefix + call[2:]))
 
 
-def test_a_frame_that_is_too_long_is_refused_before_it_is_read() -> None:
-    begun = bytearray((MOST_HELLO + 1).to_bytes(4, "big") + b"x")
+def test_a_frame_that_is_too_long_is_rejected_before_it_is_read() -> None:
+    header = bytearray((MOST_HELLO + 1).to_bytes(4, "big") + b"x")
     with pytest.raises(Bad, match=f"{MOST_HELLO + 1} bytes long"):
-        anyio.run(read_frame, Mock(), begun, MOST_HELLO)
+        anyio.run(read_frame, Mock(), header, MOST_HELLO)
 
 
-class Ends:
-    """Some nodes' links on loopback."""
+class LoopbackLinks:
+    """Links of some nodes on loopback."""
 
     def __init__(self, *names: str) -> None:
         self.ports = {name: Live.free_port(None) for name in names}  # type: ignore[arg-type]
-        self.heard: dict[str, Heard] = {name: [] for name in names}
+        self.received: dict[str, Messages] = {name: [] for name in names}
         self.log = StringIO()
-        self.older: list[int] = []
+        self.newer_starts: list[int] = []
 
     def links(self, name: str, start: int = 1, cluster: str = "c") -> Links:
-        async def hear(sender: str, call: str, args: tuple[Any, ...]) -> None:
-            self.heard[name].append((sender, call, args))
+        async def on_message(sender: str, call: str, args: tuple[Any, ...]) -> None:
+            self.received[name].append((sender, call, args))
 
-        async def older(known: int) -> None:
-            self.older.append(known)
+        async def on_newer_start(newest_start: int) -> None:
+            self.newer_starts.append(newest_start)
 
-        async def client(id_: str, verb: str, args: list[Any]) -> tuple[bool, str]:
+        async def on_request(request_id: str, verb: str, args: list[Any]) -> tuple[bool, str]:
             return True, f"{verb} {args}"
 
         return Links(
@@ -117,64 +117,64 @@
             ("127.0.0.1", self.ports[name]),
             Random(start),
             Log(name, 99.0, self.log),
-            hear,
+            on_message,
             lambda other: ("127.0.0.1", self.ports[other]) if other in self.ports else None,
-            older,
-            client,
+            on_newer_start,
+            on_request,
         )
 
     def run(self, act: Callable[[], Awaitable[None]], *links: Links) -> None:
-        async def all_of_it() -> None:
+        async def run_all() -> None:
             async with anyio.create_task_group() as group:
-                for one in links:
-                    group.start_soon(one.run, group)
+                for node_links in links:
+                    group.start_soon(node_links.run, group)
                 await anyio.sleep(0.05)
                 await act()
                 group.cancel_scope.cancel()
 
-        anyio.run(all_of_it)
+        anyio.run(run_all)
 
-    async def until(self, met: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         with anyio.fail_after(10.0):
-            while not met():
+            while not condition():
                 await anyio.sleep(0.01)
 
 
 def test_messages_and_datagrams_arrive_and_a_client_is_answered() -> None:
-    ends = Ends("a", "b")
-    a, b = ends.links("a"), ends.links("b")
+    loopback = LoopbackLinks("a", "b")
+    a, b = loopback.links("a"), loopback.links("b")
 
     async def act() -> None:
         a.send("b", "r.begin", (7,))
         a.tell("b", "m.ack", (3, [("x", 0, 1, "1.2.3.4:5", "")]))
-        await ends.until(lambda: len(ends.heard["b"]) == 2)
-        assert await ask(("127.0.0.1", ends.ports["a"]), "c", "s", "id", "status", [1]) == (
+        await loopback.until(lambda: len(loopback.received["b"]) == 2)
+        assert await ask(("127.0.0.1", loopback.ports["a"]), "c", "s", "id", "status", [1]) == (
             True,
             "status [1]",
         )
         with pytest.raises((Bad, OSError, anyio.EndOfStream)):
-            await ask(("127.0.0.1", ends.ports["a"]), "other", "s", "id", "status", [])
+            await ask(("127.0.0.1", loopback.ports["a"]), "other", "s", "id", "status", [])
 
-    ends.run(act, a, b)
-    assert sorted(ends.heard["b"], key=str) == [
+    loopback.run(act, a, b)
+    assert sorted(loopback.received["b"], key=str) == [
         ("a", "m.ack", (3, [("x", 0, 1, "1.2.3.4:5", "")])),
         ("a", "r.begin", (7,)),
     ]
-    assert "dropped from" in ends.log.getvalue()
+    assert "dropped from" in loopback.log.getvalue()
 
 
-def test_a_node_with_an_older_folder_is_told_so_and_not_heard() -> None:
-    ends = Ends("a", "b")
-    new, old, b = ends.links("a", 5), ends.links("a", 4), ends.links("b")
+def test_a_node_with_an_outdated_folder_is_refused_and_informed() -> None:
+    loopback = LoopbackLinks("a", "b")
+    new, old, b = loopback.links("a", 5), loopback.links("a", 4), loopback.links("b")
 
     async def act() -> None:
         b._check_hello(FORM, "c", "a", 5, new.instance_id)
         old.group = b.group
         old.send("b", "r.begin", (7,))
-        await ends.until(lambda: bool(ends.older))
+        await loopback.until(lambda: bool(loopback.newer_starts))
 
-    ends.run(act, b)
-    assert ends.older[0] == 5 and ends.heard["b"] == []
+    loopback.run(act, b)
+    assert loopback.newer_starts[0] == 5 and loopback.received["b"] == []
 
 
 # The operators' file.
@@ -216,7 +216,7 @@
         ),
     ],
 )
-def test_a_faulty_section_is_told_by_its_key(tmp_path: Path, change: tuple[str, str], why: str) -> None:
+def test_an_error_in_the_section_names_its_key(tmp_path: Path, change: tuple[str, str], why: str) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(GOOD.format(folder=tmp_path / "state").replace(*change))
     with pytest.raises(Faults) as wrong:
@@ -225,14 +225,14 @@
 
 
 def run(*args: str) -> tuple[int, str]:
-    """The command line, and what it prints; Faults become exit code 2 with their lines, as in `main`."""
+    """Run the command line; returns its exit code and output. Faults become exit code 2, as in `main`."""
     found = CliRunner().invoke(front, args, standalone_mode=False)
     if isinstance(found.exception, Faults):
         return 2, "\n".join(found.exception.lines)
     return found.return_value if isinstance(found.return_value, int) else found.exit_code, found.output
 
 
-def test_a_cluster_is_founded_once_and_explains_its_times(tmp_path: Path) -> None:
+def test_a_cluster_is_initialized_once_and_explains_its_bounds(tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(GOOD.format(folder=tmp_path / "state"))
     assert run("cluster", "init", "--operators", str(path))[0] == 0
@@ -244,11 +244,11 @@
     assert {row["name"] for row in rows} == {"new leader", "right gone", "work goes on"}
 
 
-def test_copies_are_shown_compared_and_taken_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_copies_are_shown_compared_and_exported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path, file = tmp_path / "operators.toml", tmp_path / "rows"
     path.write_text(GOOD.format(folder=tmp_path / "state") + 'n1 = "127.0.0.1:7602"\n')
-    mes = (Me("n0", "n0:1", 1), Me("n1", "n1:1", 1))
-    cores = {me.name: Cluster(me, COPYING, Kept(), Random(1), 0.0) for me in mes}
+    identities = (Me("n0", "n0:1", 1), Me("n1", "n1:1", 1))
+    cores = {identity.name: Cluster(identity, COPYING, Kept(), Random(1), 0.0) for identity in identities}
 
     def answered(part: Any, node: str | None, verb: str, args: list[Any]) -> tuple[bool, str]:
         core = cores[node or "n0"]
@@ -273,11 +273,11 @@
     )
 
 
-def test_bad_requests_are_refused_before_anything_is_asked(tmp_path: Path) -> None:
+def test_invalid_requests_are_rejected_before_a_node_is_asked(tmp_path: Path) -> None:
     path, machines = tmp_path / "operators.toml", tmp_path / "machines.toml"
     path.write_text(GOOD.format(folder=tmp_path / "state"))
-    asked = ("work", "request", "--operators", str(path), "--reason", "r")
-    assert run(*asked, "--all", "--most", "0%") == (
+    command = ("work", "request", "--operators", str(path), "--reason", "r")
+    assert run(*command, "--all", "--most", "0%") == (
         2,
         "--most: '0%' is neither a number nor a share like 10%",
     )
@@ -290,7 +290,7 @@
     assert code == 2 and "did you mean votes twice?" in text
 
 
-def test_a_lean_node_loads_nothing_of_the_cluster() -> None:
+def test_a_node_without_a_cluster_imports_nothing_of_it() -> None:
     code = (
         "import sys, merlintally.__main__, merlintally.net.node, merlintally.cli.serving\n"
         "print([one for one in sys.modules if one.startswith('merlintally.cluster') or one == 'msgpack'])"
@@ -368,7 +368,7 @@
         (({"event": "answer", "id": "7"}, {"event": "answer", "id": "7", "start": 2}), None),
     ],
 )
-def test_records_written_by_hand_are_judged(
+def test_violations_in_handwritten_records_are_detected(
     tmp_path: Path, rows: tuple[dict[str, Any], ...], promise: str | None
 ) -> None:
     found = check(record(tmp_path / "r", *rows))["broken"]
@@ -376,7 +376,7 @@
     assert all(len(one["lines"]) == 2 and "a.jsonl:" in one["lines"][0] for one in found)
 
 
-def test_a_record_that_cannot_be_read_is_named_and_a_torn_last_line_left_out(tmp_path: Path) -> None:
+def test_an_unreadable_record_is_named_and_a_torn_last_line_ignored(tmp_path: Path) -> None:
     folder = record(tmp_path / "r", {"event": "leader", "term": 1})
     with (folder / "a.jsonl").open("a") as file:
         file.write('{"at": 2.0, "ev')
@@ -389,13 +389,13 @@
 # Scenarios.
 
 
-def test_every_shipped_scenario_can_be_read() -> None:
+def test_every_shipped_scenario_is_valid() -> None:
     assert {"notes-cut", "work-round", "late-return"} <= set(shipped())
     assert all(read_scenario(name).name == name for name in shipped())
 
 
 def played(tmp_path: Path, name: str, **changes: Any) -> dict[str, Any]:
-    """Play a scenario; nothing that is promised may be broken, and all that was begun is done."""
+    """Play a scenario; no promise may be violated and all requested work must be finished."""
     form: Scenario = msgspec.structs.replace(read_scenario(name), **changes)
     found = play(form, 1, tmp_path / "kept")
     assert found["broken"] == [] and found["unfinished"] == [], found
@@ -404,32 +404,36 @@
     return found
 
 
-def test_today_s_nodes_with_cut_links(tmp_path: Path) -> None:
+def test_nodes_without_a_cluster_under_cut_links(tmp_path: Path) -> None:
     assert played(tmp_path, "notes-cut", seconds=8.0)["submissions"]["taken"] > 50
 
 
-def test_work_goes_round_while_its_leaders_are_killed_and_stopped(tmp_path: Path) -> None:
+def test_work_is_finished_while_leaders_are_killed_and_stopped(tmp_path: Path) -> None:
     found = played(tmp_path, "leader-lost", seconds=14.0)
     assert found["work"]["turns"] == 5 and found["faults"]["kill"] == 1
 
 
-def test_all_are_killed_at_once_with_a_machine_out(tmp_path: Path) -> None:
+def test_all_nodes_are_killed_at_once_with_a_machine_out(tmp_path: Path) -> None:
     found = played(tmp_path, "all-down", seconds=8.0, processes=3, servers=3)
     assert found["work"]["turns"] == 3
 
 
-def test_nodes_come_back_with_folders_that_are_older_empty_torn_and_spoilt(tmp_path: Path) -> None:
+def test_nodes_restart_with_folders_that_are_outdated_empty_torn_and_corrupt(tmp_path: Path) -> None:
     form = read_scenario("late-return")
     assert form.work is not None
-    soon = tuple(
+    earlier_faults = tuple(
         msgspec.structs.replace(one, at_s=1.0 + at * 4.0, lasts_s=1.5) for at, one in enumerate(form.fault)
     )
     played(
-        tmp_path, "late-return", seconds=24.0, fault=soon, work=msgspec.structs.replace(form.work, rounds=1)
+        tmp_path,
+        "late-return",
+        seconds=24.0,
+        fault=earlier_faults,
+        work=msgspec.structs.replace(form.work, rounds=1),
     )
 
 
-def test_copies_are_the_same_in_the_end_though_nodes_come_back_with_older_folders(tmp_path: Path) -> None:
+def test_copies_converge_after_nodes_restart_with_outdated_folders(tmp_path: Path) -> None:
     faults = (
         FaultForm("kill", 2.0, 1.0, "n0"),
         FaultForm("older", 4.5, 1.0, "n1"),
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""The members core: schedules under faults, planted mistakes, and single steps."""
+"""The SWIM core: schedules under faults, injected faults, and single steps."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 from merlintally.lab.schedules.members import measure, play
 
 
-def test_no_schedule_breaks_what_is_promised() -> None:
+def test_no_schedule_ends_with_a_wrong_view() -> None:
     broken = {seed: verdict.broken for seed in range(40) if (verdict := play(seed)).broken}
     assert broken == {}
 
 
-def test_a_death_is_known_to_all_and_nobody_else_is_suspected() -> None:
+def test_a_death_is_detected_by_all_without_false_deaths() -> None:
     found = measure(10, 1, length_s=60.0)
     assert found["all_s"] < 20.0 and found["false_deaths_an_hour"] == 0.0 and found["bytes_a_second"] < 1000
 
 
-def one() -> Members:
+def three_members() -> Members:
     return Members("a", "a:1", {"b": "b:1", "c": "c:1"}, 1, Rhythm(), Random(1), 0.0)
 
 
-def test_one_that_came_back_unheard_tells_so_when_it_hears_that_it_is_dead() -> None:
-    """Guards against two sides that hold each other to be dead for good: schedule 32760 of work."""
-    core = one()
-    core.update_counts.clear()  # what it told of its start was lost, and was told as often as news is
+def test_a_restarted_node_refutes_an_update_that_it_is_dead() -> None:
+    """Otherwise two sides of a healed partition could consider each other dead for ever."""
+    core = three_members()
+    core.update_counts.clear()  # the updates about its start were sent as often as any, and all lost
     core.hear(1.0, "b", "ping", (7, "a", [("a", DEAD, 3, "a:1", "")]))
-    ((to, call, (_, news)),) = core.take_results().sends
-    assert (to, call) == ("b", "ack") and ("a", ALIVE, START, "a:1", "") in news
+    ((to, call, (_, updates)),) = core.take_results().sends
+    assert (to, call) == ("b", "ack") and ("a", ALIVE, START, "a:1", "") in updates
 
 
-def test_everyone_whom_a_leaver_tells_hears_that_it_goes() -> None:
+def test_every_message_of_a_leaving_node_announces_that_it_leaves() -> None:
     core = Members("a", "a:1", {name: f"{name}:1" for name in "bcdefg"}, 1, Rhythm(), Random(1), 0.0)
     core.leave(1.0)
     sends = core.take_results().sends
     assert len(sends) == 4 and all(("a", LEFT, START, "a:1", "") in args[-1] for _, _, args in sends)
 
 
-def test_news_of_a_member_only_rises() -> None:
-    core = one()
+def test_a_members_state_and_incarnation_only_rise() -> None:
+    core = three_members()
     for state, incarnation, expected in (
         (SUSPECT, 0, SUSPECT),
         (ALIVE, 0, SUSPECT),
@@ -58,23 +58,23 @@
         assert core.state("b") == expected
 
 
-def test_a_node_refutes_what_is_said_of_it_and_is_more_patient_with_others() -> None:
-    core = one()
+def test_a_suspected_node_refutes_and_raises_its_local_health_score() -> None:
+    core = three_members()
     core.hear(1.0, "b", "ping", (1, "a", [("a", SUSPECT, START, "a:1", "b")]))
     assert core.incarnation == START + 1 and core.local_health == 1
-    news = [row for _, _, args in core.take_results().sends for row in args[-1] if row[0] == "a"]
-    assert news == [("a", ALIVE, START + 1, "a:1", "")]
+    updates = [row for _, _, args in core.take_results().sends for row in args[-1] if row[0] == "a"]
+    assert updates == [("a", ALIVE, START + 1, "a:1", "")]
 
 
-def test_one_that_flaps_is_not_steady_until_it_has_lasted() -> None:
-    core = one()
+def test_a_flapping_member_is_stable_only_after_its_score_has_decayed() -> None:
+    core = three_members()
     for at in range(4):
-        news = [("b", DEAD, 2 * at, "b:1", ""), ("b", ALIVE, 2 * at + 1, "b:1", "")]
-        core.hear(at + 1.0, "c", "ping", (1, "a", news))
-    assert core.state("b") == ALIVE and not core.steady("b", 5.0) and core.steady("b", 90.0)
+        updates = [("b", DEAD, 2 * at, "b:1", ""), ("b", ALIVE, 2 * at + 1, "b:1", "")]
+        core.hear(at + 1.0, "c", "ping", (1, "a", updates))
+    assert core.state("b") == ALIVE and not core.is_stable("b", 5.0) and core.is_stable("b", 90.0)
 
 
-def test_datagrams_stay_within_their_room() -> None:
+def test_datagrams_stay_within_the_size_limit() -> None:
     others = {f"node-{at}": f"10.0.0.{at}:7600" for at in range(200)}
     core = Members("a", "a:1", others, 1, Rhythm(), Random(1), 0.0)
     for at in range(200):
@@ -84,12 +84,12 @@
         assert sum(len(row[0]) + len(row[3]) + len(row[4]) + 16 for row in args[-1]) <= Rhythm().room
 
 
-def test_every_mistake_has_a_name_of_its_own() -> None:
+def test_injected_faults_have_unique_names() -> None:
     assert len(set(MISTAKES)) == len(MISTAKES) >= 8
 
 
 @pytest.mark.parametrize(
-    "mistake",
+    "fault",
     [
         "old news taken",
         "suspicion is not refuted",
@@ -99,5 +99,5 @@
         "news is never told on",
     ],
 )
-def test_a_planted_mistake_is_found(mistake: str) -> None:
-    assert any(play(seed, (mistake,)).broken for seed in (*range(4), 53))
+def test_an_injected_fault_is_detected(fault: str) -> None:
+    assert any(play(seed, (fault,)).broken for seed in (*range(4), 53))
