--- a/merlintally/cluster/agreement/core.py
+++ b/merlintally/cluster/agreement/core.py
@@ -1,9 +1,9 @@
 """Raft consensus as a pure state machine, without clock, sockets, files or threads.
 
-Inputs are method calls: `hear` (a message was received), `wake` (time has passed), `synced` (rows are on
-disk), `propose`, `read`, `change`, `transfer` and `compact`. Outputs are collected with `take_results`:
-messages to send, rows to persist in order, and committed entries to apply. A message is the name of the
-handler it invokes on the receiver and its arguments, whose types are in `FORMS`.
+Inputs are method calls: `hear` (a message was received), `wake` (time has passed), `synced` (rows are
+on disk), `propose`, `read`, `change`, `transfer` and `compact`. Outputs are collected
+with `take_results`: messages to send, rows to persist in order, and committed entries to apply. A message
+is the name of the handler it invokes on the receiver and its arguments, whose types are in `FORMS`.
 """
 
 from __future__ import annotations
--- a/merlintally/cluster/agreement/log.py
+++ b/merlintally/cluster/agreement/log.py
@@ -44,7 +44,7 @@
 
 
 class Snapshot(NamedTuple):
-    """The state that results from all entries up to index `upto`, encoded by the user of the core."""
+    """The state after all entries up to index `upto`, encoded by the user of the core."""
 
     upto: int = 0
     term: int = 0
--- a/merlintally/cluster/core.py
+++ b/merlintally/cluster/core.py
@@ -1,8 +1,8 @@
 """One node of a cluster as a pure state machine: Raft, membership, work coordination and state copies.
 
-Inputs are method calls (`hear`, `wake`, `synced`, `ask`), outputs are collected with `take_results`. Message
-names are prefixed by the component that handles them: `r.` Raft, `m.` membership, `w.` work coordination,
-`c.` copies.
+Inputs are method calls (`hear`, `wake`, `synced`, `ask`), outputs are collected with `take_results`.
+Message names are prefixed by the component that handles them: `r.` Raft, `m.` membership, `w.` work
+coordination, `c.` copies.
 """
 
 from __future__ import annotations
@@ -321,9 +321,9 @@
         """Whether the draws of nearly all other nodes reach this node promptly.
 
         This requires that the node has caught up, holds a valid lease (so it is on the side of a partition
-        that has a majority), that the holders of its own rows respond, and that at most the share UNWELL of
-        the members is suspect or dead. A small share is tolerated: otherwise one dead node would send all
-        others to the counter.
+        that has a majority), that the holders of its own rows respond, and that not more than a share of
+        UNWELL of the members is suspect or dead. A small share is tolerated: otherwise one dead
+        node would send all others to the counter.
         """
         local_copies, known = self.copies, self.members.known.values()
         unhealthy = sum(member.state in (SUSPECT, DEAD) for member in known)
--- a/merlintally/cluster/disk.py
+++ b/merlintally/cluster/disk.py
@@ -97,7 +97,7 @@
     """A node's folder, locked by one process. `write` blocks until rows are synced: run it in a thread."""
 
     def __init__(self, folder: Path) -> None:
-        """Open the folder, which is created if missing; Spoilt if it is corrupt, OSError if it is locked."""
+        """Open or create the folder; Spoilt if it is corrupt, OSError if it is locked."""
         self.folder, self.path = folder, folder / "agreement.log"
         self.file = self.synced_size_file = CLOSED_DESCRIPTOR
         self.needs_repair = False  # a write failed, so the log may hold more than was acknowledged
@@ -210,7 +210,7 @@
                 raise
 
     def write(self, rows: list[tuple[Any, ...]]) -> None:
-        """Write and sync rows, all or none; Full if that fails. The same rows may then be written again."""
+        """Write and sync rows, all or none; Full if that fails, after which it may be repeated."""
         try:
             self._repair()
             self._write(rows)
--- a/merlintally/cluster/links.py
+++ b/merlintally/cluster/links.py
@@ -93,8 +93,10 @@
 
 
 async def read_frame(stream: anyio.abc.ByteReceiveStream, buffer: bytearray, max_bytes: int) -> bytes:
-    """Read the next frame; EndOfStream at the end, Bad if it is longer than `max_bytes`. `buffer` keeps
-    bytes of later frames between calls."""
+    """Read the next frame; EndOfStream at the end, Bad if it is longer than `max_bytes`.
+
+    `buffer` keeps bytes of later frames between calls.
+    """
     while True:
         if len(buffer) >= 4:
             size = int.from_bytes(buffer[:4], "big")
@@ -368,7 +370,7 @@
     args: list[Any],
     timeout_s: float = STREAM_TIMEOUT_S,
 ) -> tuple[bool, str]:
-    """Send one request of an operator to the node at `address`; OSError or Bad if there is no answer."""
+    """Send an operator's request to the node at `address`; OSError or Bad if there is no answer."""
     codec = Codec(cluster, secret)
     with anyio.fail_after(timeout_s):
         async with await anyio.connect_tcp(*address) as stream:
