--- a/merlintally/cli/cluster.py
+++ b/merlintally/cli/cluster.py
@@ -52,8 +52,8 @@
 def ask(part: ClusterPart, node: str | None, verb: str, args: list[Any], id_: str = "") -> tuple[bool, str]:
     """Ask nodes in turn until one answers, always with the same id, so that it counts once. ClickException,
     exit code 1, where none does."""
-    from merlintally.cluster.links import Bad
-    from merlintally.cluster.links import ask as ask_one
+    from merlintally.cluster.links import InvalidFrame
+    from merlintally.cluster.links import request as ask_one
     from merlintally.net.configuration import address
 
     id_ = id_ or f"cli:{secrets.token_hex(8)}"
@@ -64,7 +64,13 @@
                 ok, text = anyio.run(
                     ask_one, address(where, "node"), part.name, part.secret, id_, verb, args, 12.0
                 )
-            except (OSError, TimeoutError, Bad, anyio.EndOfStream, anyio.BrokenResourceError) as wrong:
+            except (
+                OSError,
+                TimeoutError,
+                InvalidFrame,
+                anyio.EndOfStream,
+                anyio.BrokenResourceError,
+            ) as wrong:
                 said = f"{where}: {wrong or 'no answer'}"
                 continue
             if ok or "ask again" not in text:
@@ -91,16 +97,16 @@
     For each of the first voters, once, before its first start. A node without it waits until the others have
     let it in: never found a folder anew for a voter that has lost its own.
     """
-    from merlintally.cluster.disk import Disk, Spoilt
+    from merlintally.cluster.disk import CorruptFolder, Disk
 
     part = cluster_part(operators)
     if (Path(part.folder) / "agreement.log").exists():
         raise Faults([f"cluster.folder: {part.folder} holds a log already; nothing was changed"])
     try:
         disk = Disk(Path(part.folder))
-    except (OSError, Spoilt) as wrong:
+    except (OSError, CorruptFolder) as wrong:
         raise Faults([f"cluster.folder: {wrong}"]) from None
-    disk.admitted()
+    disk.mark_admitted()
     disk.close()
     click.echo(f"{part.folder}: founded for cluster {part.name}, voters {', '.join(part.voters)}")
 
--- a/merlintally/cli/serving.py
+++ b/merlintally/cli/serving.py
@@ -32,19 +32,19 @@
 
 def attach(first: Operators, deployment: Deployment, parts: list[Part]) -> Log:
     """The node's record, and its part in its cluster, loaded only where the operators' file has them."""
-    from merlintally.cluster.record import Record, RecordingLog, starts_in
+    from merlintally.cluster.record import Record, RecordingLog, count_starts
 
     if not first.cluster.name:
         log = RecordingLog(deployment.name, first.log.lines_per_s)
-        log.record = Record(first.record.file, deployment.name, starts_in(first.record.file) + 1)
+        log.record = Record(first.record.file, deployment.name, count_starts(first.record.file) + 1)
         log.record.add("start")
         return log
-    from merlintally.cluster.disk import Spoilt
+    from merlintally.cluster.disk import CorruptFolder
     from merlintally.cluster.node import ClusterNode, open_disk
 
     try:
         disk = open_disk(first.cluster)
-    except Spoilt as wrong:
+    except CorruptFolder as wrong:
         raise Faults([f"cluster.folder: {wrong}"]) from None
     log = RecordingLog(deployment.name, first.log.lines_per_s)
     if first.record.file:
--- a/merlintally/cluster/__init__.py
+++ b/merlintally/cluster/__init__.py
@@ -3,5 +3,5 @@
 Nothing of this package is imported without a section [cluster] in the operators' file.
 """
 
-FELLOWS = -1  # sender of notes to the decisions that combine the draws of all other nodes
-UNWELL = 0.1  # share of members that may be suspect or dead while draws still count as complete
+ALL_PEERS = -1  # sender of notes to the decisions that combine the draws of all other nodes
+MAX_UNHEALTHY_SHARE = 0.1  # share of members that may be suspect or dead while draws still count as complete
--- a/merlintally/cluster/agreement/core.py
+++ b/merlintally/cluster/agreement/core.py
@@ -1,9 +1,9 @@
 """Raft consensus as a pure state machine, without clock, sockets, files or threads.
 
-Inputs are method calls: `hear` (a message was received), `wake` (time has passed), `synced` (rows are
-on disk), `propose`, `read`, `change`, `transfer` and `compact`. Outputs are collected
+Inputs are method calls: `receive` (a message was received), `wake` (time has passed), `synced` (rows are
+on disk), `propose`, `read`, `change_config`, `transfer_leadership` and `compact`. Outputs are collected
 with `take_results`: messages to send, rows to persist in order, and committed entries to apply. A message
-is the name of the handler it invokes on the receiver and its arguments, whose types are in `FORMS`.
+is the name of the handler it invokes on the receiver and its arguments, whose types are in `MESSAGE_TYPES`.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
     NOOP,
     Config,
     Entry,
-    Kept,
     Log,
+    PersistentState,
     Snapshot,
     decode_config,
 )
 
 # Message name -> types of its arguments; the first is always the sender's term.
-FORMS: dict[str, Any] = {
+MESSAGE_TYPES: dict[str, Any] = {
     "asked": tuple[int, bool, bool, int, int],  # term, pre-vote, forced, last log index, last log term
     "voted": tuple[int, bool, bool, int],  # term, pre-vote, granted, requested term
     "append": tuple[
@@ -42,7 +42,7 @@
 }
 
 
-MISTAKES = (  # faults that tests inject by name; the schedules must detect each of them
+INJECTED_FAULTS = (  # faults that tests inject by name; the schedules must detect each of them
     "votes twice",
     "forgets its vote",
     "commits an older term by count",
@@ -60,7 +60,7 @@
 )
 
 
-class Pace(NamedTuple):
+class RaftSettings(NamedTuple):
     """Timing in seconds and sizes in bytes.
 
     The election timeout is drawn uniformly from `election_s` to twice that.
@@ -68,10 +68,10 @@
 
     heartbeat_s: float = 0.1
     election_s: float = 0.5
-    batch: int = 64 << 10  # entry bytes in one append message
-    flight: int = 8  # unacknowledged append messages to one peer
-    chunk: int = 32 << 10  # snapshot bytes in one message
-    pending: int = 4096  # uncommitted entries beyond which proposals are rejected
+    batch_bytes: int = 64 << 10  # entry bytes in one append message
+    max_in_flight: int = 8  # unacknowledged append messages to one peer
+    snapshot_chunk_bytes: int = 32 << 10  # snapshot bytes in one message
+    max_uncommitted: int = 4096  # uncommitted entries beyond which proposals are rejected
 
 
 @dataclass(slots=True)
@@ -118,45 +118,45 @@
     def __init__(
         self,
         name: str,
-        stored: Kept,
+        stored: PersistentState,
         config: Config,
-        settings: Pace,
+        settings: RaftSettings,
         random: Random,
         now: float,
         blank: bool = False,
-        mistakes: frozenset[str] = frozenset(),
+        injected_faults: frozenset[str] = frozenset(),
     ) -> None:
         """`config` is the initial configuration, used where `stored` has none; it must be the same on all
         nodes. `blank` marks a node that has lost its persistent state (an empty or outdated folder): it does
         not vote until it has been removed from the voters and added again."""
-        self.name, self.settings, self.random, self.blank, self.mistakes = (
+        self.name, self.settings, self.random, self.lost_state, self.injected_faults = (
             name,
             settings,
             random,
             blank,
-            mistakes,
+            injected_faults,
         )
         self.term, self.vote = stored.term, stored.vote
         if not stored.snapshot.config.voters:
             stored.snapshot = stored.snapshot._replace(config=config)
         self.log = Log(stored)
-        self.commit = self.applied = stored.snapshot.upto
-        self.configs = [(stored.snapshot.upto, stored.snapshot.config)]
-        for index, entry in enumerate(stored.entries, stored.snapshot.upto + 1):
+        self.commit_index = self.applied_index = stored.snapshot.included_index
+        self.configs = [(stored.snapshot.included_index, stored.snapshot.config)]
+        for index, entry in enumerate(stored.entries, stored.snapshot.included_index + 1):
             if entry.kind == CONFIG:
                 self.configs.append((index, decode_config(entry.data)))
         self.role, self.leader, self.now = "follower", "", now
         self.can_lead = True  # False while the disk accepts no writes
         self.peers: dict[str, Peer] = {}
         self.votes: set[str] = set()
-        self.round = 0  # heartbeat rounds, which confirm leadership for reads
+        self.heartbeat_round = 0  # heartbeat rounds, which confirm leadership for reads
         self.pending_reads: list[tuple[int, int, Any]] = []  # round, index, token
         self.transfer_target = ""  # receiver of a leadership transfer in progress
         self.transfer_deadline = 0.0
         self.incoming_snapshot: tuple[int, int, bytearray] | None = None  # index, term, bytes received
         self.rows_emitted = self.rows_synced = 0  # sequence numbers of rows persisted and known to be on disk
         self.unsynced_rows: deque[list[int]] = deque()  # [row number, last log index after it]
-        self.synced_index = self.log.last
+        self.synced_index = self.log.last_index
         # Messages to be sent once a row is on disk: row number, receiver, message, arguments.
         self.held_sends: deque[tuple[int, str, str, tuple[Any, ...]]] = deque()
         self.results = Results()
@@ -188,7 +188,7 @@
         if (
             self.role != "leader"
             or self.transfer_target
-            or self.log.last - self.commit >= self.settings.pending
+            or self.log.last_index - self.commit_index >= self.settings.max_uncommitted
         ):
             return 0
         return self._append_entry(Entry(self.term, DATA, data))
@@ -197,27 +197,29 @@
         """Linearizable read: `reads` reports the token after a heartbeat round confirms leadership,
         `refused` if this node can't serve it."""
         self.now = now
-        if self.role != "leader" or self.log.term_at(self.commit) != self.term:
+        if self.role != "leader" or self.log.term_at(self.commit_index) != self.term:
             self.results.refused.append(token)
-        elif "reads without a round" in self.mistakes:
-            self.results.reads.append((token, self.commit))
+        elif "reads without a round" in self.injected_faults:
+            self.results.reads.append((token, self.commit_index))
         else:
-            self.round += 1
-            self.pending_reads.append((self.round, self.commit, token))
+            self.heartbeat_round += 1
+            self.pending_reads.append((self.heartbeat_round, self.commit_index, token))
             self._send_heartbeats()
             self._answer_reads()
 
-    def change(self, now: float, config: Config) -> bool:
+    def change_config(self, now: float, config: Config) -> bool:
         """Propose a new configuration, which may add or remove one voter; False if not possible now."""
         self.now = now
         single_change = len(set(config.voters) ^ set(self.config.voters)) <= 1
-        settled = self.configs[-1][0] <= self.commit and self.log.term_at(self.commit) == self.term
-        if "two changes at once" in self.mistakes:
+        settled = (
+            self.configs[-1][0] <= self.commit_index and self.log.term_at(self.commit_index) == self.term
+        )
+        if "two changes at once" in self.injected_faults:
             single_change = settled = True
         caught_up = all(
             name == self.name
             or name in self.peers
-            and self.peers[name].match_index + self.settings.flight >= self.commit
+            and self.peers[name].match_index + self.settings.max_in_flight >= self.commit_index
             for name in set(config.voters) - set(self.config.voters)
         )
         if (
@@ -233,7 +235,7 @@
         """Discard the replication progress of a peer that has lost its log."""
         self.peers.pop(name, None)
 
-    def transfer(self, now: float, to: str) -> bool:
+    def transfer_leadership(self, now: float, to: str) -> bool:
         """Transfer leadership; no proposals are accepted meanwhile, for at most one election timeout."""
         self.now = now
         if self.role != "leader" or to not in self.config.voters or to == self.name:
@@ -245,8 +247,8 @@
     def compact(self, now: float, data: bytes) -> None:
         """Replace the log up to the applied index with a snapshot whose state is `data`."""
         self.now = now
-        if self.applied > self.log.snapshot.upto:
-            index = self.applied
+        if self.applied_index > self.log.snapshot.included_index:
+            index = self.applied_index
             config = [config for since, config in self.configs if since <= index][-1]
             self._install_snapshot(Snapshot(index, self.log.term_at(index) or 0, config, data))
 
@@ -254,7 +256,7 @@
         """All rows up to sequence number `number` are on disk."""
         self.now, self.rows_synced = now, number
         while self.unsynced_rows and self.unsynced_rows[0][0] <= number:
-            self.synced_index = min(self.unsynced_rows.popleft()[1], self.log.last)
+            self.synced_index = min(self.unsynced_rows.popleft()[1], self.log.last_index)
         while self.held_sends and self.held_sends[0][0] <= number:
             _, to, call, args = self.held_sends.popleft()
             self.results.sends.append((to, call, args))
@@ -275,10 +277,10 @@
                 self._send_heartbeats()
         elif now >= self.election_at:
             self._reset_election_timer()
-            if self.name in self.config.voters and self.can_lead and not self.blank:
+            if self.name in self.config.voters and self.can_lead and not self.lost_state:
                 self._start_election(pre_vote=True)
 
-    def hear(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
+    def receive(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
         """Handle a message. Senders outside the configuration are accepted: they may have been added by an
         entry that this node does not have yet."""
         self.now = now
@@ -316,7 +318,7 @@
             return
         for name in self.config.voters:
             if name != self.name:
-                args = (self.term + pre_vote, pre_vote, forced, self.log.last, self.log.last_term)
+                args = (self.term + pre_vote, pre_vote, forced, self.log.last_index, self.log.last_term)
                 self._send(name, "asked", args, durable=not pre_vote)
 
     def _asked(
@@ -330,18 +332,18 @@
             self._become_follower(term)
         up_to_date = (candidate_term, candidate_index) >= (
             self.log.last_term,
-            self.log.last,
-        ) or "votes for a shorter log" in self.mistakes
-        can_vote = self.vote in ("", sender) or "votes twice" in self.mistakes
+            self.log.last_index,
+        ) or "votes for a shorter log" in self.injected_faults
+        can_vote = self.vote in ("", sender) or "votes twice" in self.injected_faults
         granted = (
             term >= self.term
             and up_to_date
             and (term > self.term if pre_vote else can_vote)
-            and not self.blank
+            and not self.lost_state
         )
         if granted and not pre_vote:
             self.vote = sender
-            if "forgets its vote" not in self.mistakes:
+            if "forgets its vote" not in self.injected_faults:
                 self._persist(("vote", self.term, self.vote))
             self._reset_election_timer()
         self._send(sender, "voted", (self.term, pre_vote, granted, term), durable=True)
@@ -370,13 +372,13 @@
             term == self.term
             and self.name in self.config.voters
             and self.role == "follower"
-            and not self.blank
+            and not self.lost_state
         ):
             self._start_election(pre_vote=False, forced=True)
 
     def _complete_transfer(self) -> None:
         peer = self.peers.get(self.transfer_target)
-        if peer is not None and peer.match_index == self.log.last:
+        if peer is not None and peer.match_index == self.log.last_index:
             self._send(self.transfer_target, "begin", (self.term,))
 
     def _check_quorum(self) -> None:
@@ -392,9 +394,10 @@
     def _is_majority(self, names: Iterable[str]) -> bool:
         voters = set(self.config.voters)
         counted = len(
-            (set(self.config.all) if "learner counts as a voter" in self.mistakes else voters) & set(names)
+            (set(self.config.all) if "learner counts as a voter" in self.injected_faults else voters)
+            & set(names)
         )
-        if "minority commits" in self.mistakes:
+        if "minority commits" in self.injected_faults:
             return 2 * counted >= len(voters)
         return 2 * counted > len(voters)
 
@@ -402,7 +405,7 @@
 
     def _append_entry(self, entry: Entry) -> int:
         self.log.entries.append(entry)
-        index = self.log.last
+        index = self.log.last_index
         self._persist(("add", index, [entry]))
         if entry.kind == CONFIG:
             self.configs.append((index, decode_config(entry.data)))
@@ -416,7 +419,9 @@
                 self._send_snapshot_chunk(name, peer)
             else:
                 entries = (
-                    self.log.entries_after(peer.next_index - 1, self.settings.batch) if peer.probing else []
+                    self.log.entries_after(peer.next_index - 1, self.settings.batch_bytes)
+                    if peer.probing
+                    else []
                 )
                 self._send_append(name, peer, entries)
         self._advance_commit_index()
@@ -424,7 +429,7 @@
     def _update_peers(self) -> None:
         for name in self.config.all:
             if name != self.name and name not in self.peers:
-                self.peers[name] = Peer(self.log.last + 1, self.now)
+                self.peers[name] = Peer(self.log.last_index + 1, self.now)
         for name in [name for name in self.peers if name not in self.config.all]:
             del self.peers[name]
 
@@ -435,11 +440,11 @@
             while (
                 not peer.probing
                 and peer.snapshot_offset < 0
-                and peer.next_index <= self.log.last
-                and len(peer.in_flight) < self.settings.flight
+                and peer.next_index <= self.log.last_index
+                and len(peer.in_flight) < self.settings.max_in_flight
             ):
                 self._send_append(
-                    name, peer, self.log.entries_after(peer.next_index - 1, self.settings.batch)
+                    name, peer, self.log.entries_after(peer.next_index - 1, self.settings.batch_bytes)
                 )
 
     def _send_append(self, name: str, peer: Peer, entries: list[Entry]) -> None:
@@ -448,7 +453,7 @@
             peer.snapshot_offset = 0  # the entries it needs were compacted
             self._send_snapshot_chunk(name, peer)
             return
-        args = (self.term, peer.next_index - 1, prev_term, entries, self.commit, self.round)
+        args = (self.term, peer.next_index - 1, prev_term, entries, self.commit_index, self.heartbeat_round)
         self._send(name, "append", args)
         if entries and not peer.probing:
             peer.next_index += len(entries)
@@ -456,10 +461,10 @@
 
     def _took(self, sender: str, term: int, ok: bool, index: int, round_: int) -> None:
         peer = self.peers.get(sender)
-        if self.role != "leader" or term != self.term or peer is None or index > self.log.last:
+        if self.role != "leader" or term != self.term or peer is None or index > self.log.last_index:
             return
         peer.last_contact_at, peer.acked_round = self.now, max(peer.acked_round, round_)
-        if ok or "a refusal counts as held" in self.mistakes:
+        if ok or "a refusal counts as held" in self.injected_faults:
             peer.match_index = max(peer.match_index, index)
             peer.next_index = max(peer.next_index, peer.match_index + 1)
             peer.probing, peer.snapshot_offset = False, -1
@@ -481,7 +486,7 @@
                 self._send_append(
                     sender,
                     peer,
-                    self.log.entries_after(peer.next_index - 1, self.settings.batch)
+                    self.log.entries_after(peer.next_index - 1, self.settings.batch_bytes)
                     if self.log.term_at(peer.next_index - 1) is not None
                     else [],
                 )
@@ -489,13 +494,18 @@
 
     def _advance_commit_index(self) -> None:
         """Commit the highest index of the current term that a majority has on disk."""
-        own_index = self.log.last if "counts itself before sync" in self.mistakes else self.synced_index
+        own_index = (
+            self.log.last_index if "counts itself before sync" in self.injected_faults else self.synced_index
+        )
         match_indices = {name: peer.match_index for name, peer in self.peers.items()} | {self.name: own_index}
-        for index in sorted({match for match in match_indices.values() if match > self.commit}, reverse=True):
+        for index in sorted(
+            {match for match in match_indices.values() if match > self.commit_index}, reverse=True
+        ):
             if self._is_majority(name for name, match in match_indices.items() if match >= index) and (
-                self.log.term_at(index) == self.term or "commits an older term by count" in self.mistakes
+                self.log.term_at(index) == self.term
+                or "commits an older term by count" in self.injected_faults
             ):
-                self.commit = index
+                self.commit_index = index
                 if self.name not in self.config.voters and self.configs[-1][0] <= index:
                     self._send_commit_index()
                     self._become_follower(self.term)  # removed from the voters, and all peers were informed
@@ -540,12 +550,12 @@
         if self.role == "leader" and term == self.term:
             return  # invalid: a term has one leader
         self._leader_contacted(sender, term)
-        if prev_index < self.commit:  # committed entries are identical on all nodes
-            skip = min(self.commit - prev_index, len(entries))
+        if prev_index < self.commit_index:  # committed entries are identical on all nodes
+            skip = min(self.commit_index - prev_index, len(entries))
             prev_index, entries = prev_index + skip, entries[skip:]
             prev_term = self.log.term_at(prev_index) or 0
-            if prev_index < self.log.snapshot.upto:
-                self._send(sender, "took", (self.term, True, self.commit, round_), durable=True)
+            if prev_index < self.log.snapshot.included_index:
+                self._send(sender, "took", (self.term, True, self.commit_index, round_), durable=True)
                 return
         if self.log.term_at(prev_index) != prev_term:
             self._send(
@@ -553,8 +563,8 @@
             )
             return
         for first, entry in enumerate(entries, prev_index + 1):
-            if self.log.term_at(first) != entry.term or "cuts without a conflict" in self.mistakes:
-                if first <= self.log.last:
+            if self.log.term_at(first) != entry.term or "cuts without a conflict" in self.injected_faults:
+                if first <= self.log.last_index:
                     self._truncate_log(first)
                 new_entries = entries[first - prev_index - 1 :]
                 self.log.entries += new_entries
@@ -568,23 +578,23 @@
         match_index = prev_index + len(entries)
         new_commit = (
             leader_commit
-            if "commit beyond what is here" in self.mistakes
+            if "commit beyond what is here" in self.injected_faults
             else min(leader_commit, match_index)
         )
-        self.commit = max(self.commit, min(new_commit, self.log.last))
+        self.commit_index = max(self.commit_index, min(new_commit, self.log.last_index))
         self._send(
             sender,
             "took",
             (self.term, True, match_index, round_),
-            durable="acknowledges before sync" not in self.mistakes,
+            durable="acknowledges before sync" not in self.injected_faults,
         )
 
     def _conflict_hint(self, prev_index: int) -> int:
         """The last index at which the logs may still match: the one before the conflicting term."""
-        if prev_index > self.log.last:
-            return self.log.last
+        if prev_index > self.log.last_index:
+            return self.log.last_index
         term, index = self.log.term_at(prev_index), prev_index
-        while index > self.commit and self.log.term_at(index) == term:
+        while index > self.commit_index and self.log.term_at(index) == term:
             index -= 1
         return index
 
@@ -601,13 +611,13 @@
     def _send_snapshot_chunk(self, name: str, peer: Peer) -> None:
         current = self.log.snapshot
         peer.snapshot_offset = min(peer.snapshot_offset, len(current.data))
-        data = current.data[peer.snapshot_offset : peer.snapshot_offset + self.settings.chunk]
+        data = current.data[peer.snapshot_offset : peer.snapshot_offset + self.settings.snapshot_chunk_bytes]
         self._send(
             name,
             "piece",
             (
                 self.term,
-                current.upto,
+                current.included_index,
                 current.term,
                 current.config,
                 peer.snapshot_offset,
@@ -631,8 +641,8 @@
             self._send(sender, "took", (self.term, False, 0, 0))
             return
         self._leader_contacted(sender, term)
-        if index <= self.commit:
-            self._send(sender, "took", (self.term, True, self.commit, 0), durable=True)
+        if index <= self.commit_index:
+            self._send(sender, "took", (self.term, True, self.commit_index, 0), durable=True)
             return
         if self.incoming_snapshot is None or self.incoming_snapshot[:2] != (index, snapshot_term):
             self.incoming_snapshot = (index, snapshot_term, bytearray())
@@ -644,9 +654,9 @@
             return
         self.incoming_snapshot = None
         self._install_snapshot(Snapshot(index, snapshot_term, config, bytes(received)))
-        self.commit = self.applied = index
+        self.commit_index = self.applied_index = index
         self.results.applied = []
-        if "snapshot without its state" not in self.mistakes:
+        if "snapshot without its state" not in self.injected_faults:
             self.results.restored = self.log.snapshot
         self._send(sender, "took", (self.term, True, index, 0), durable=True)
 
@@ -654,18 +664,20 @@
         peer = self.peers.get(sender)
         if self.role == "leader" and term == self.term and peer is not None and peer.snapshot_offset >= 0:
             peer.last_contact_at = self.now
-            peer.snapshot_offset = received if index == self.log.snapshot.upto else 0
+            peer.snapshot_offset = received if index == self.log.snapshot.included_index else 0
             self._send_snapshot_chunk(sender, peer)
 
     def _install_snapshot(self, replacement: Snapshot) -> None:
-        log_end = self.log.last
-        if "snapshot without its state" in self.mistakes and log_end > replacement.upto:
-            self.log.entries = self.log.entries[replacement.upto - self.log.snapshot.upto :]
+        log_end = self.log.last_index
+        if "snapshot without its state" in self.injected_faults and log_end > replacement.included_index:
+            self.log.entries = self.log.entries[
+                replacement.included_index - self.log.snapshot.included_index :
+            ]
             self.log.snapshot = replacement
-        elif not self.log.restore_from(replacement) and log_end > replacement.upto:
-            self._truncate_log(replacement.upto + 1)
-        self.configs = [(replacement.upto, replacement.config)] + [
-            one for one in self.configs if one[0] > replacement.upto
+        elif not self.log.restore_from(replacement) and log_end > replacement.included_index:
+            self._truncate_log(replacement.included_index + 1)
+        self.configs = [(replacement.included_index, replacement.config)] + [
+            one for one in self.configs if one[0] > replacement.included_index
         ]
         self._persist(("snapshot", replacement))
 
@@ -674,7 +686,7 @@
     def _persist(self, row: tuple[Any, ...]) -> None:
         self.rows_emitted += 1
         self.results.persist.append(row)
-        self.unsynced_rows.append([self.rows_emitted, self.log.last])
+        self.unsynced_rows.append([self.rows_emitted, self.log.last_index])
 
     def _send(self, to: str, call: str, args: tuple[Any, ...], durable: bool = False) -> None:
         """Queue a message; a `durable` one is held until all rows emitted so far are on disk."""
@@ -684,10 +696,10 @@
             self.results.sends.append((to, call, args))
 
     def _apply(self) -> None:
-        while self.applied < self.commit:
-            self.applied += 1
-            entry = self.log.entry(self.applied)
+        while self.applied_index < self.commit_index:
+            self.applied_index += 1
+            entry = self.log.entry(self.applied_index)
             if entry.kind == CONFIG and self.name not in decode_config(entry.data).voters:
                 # Removed from the voters: promises of its former membership no longer bind.
-                self.blank = False
-            self.results.applied.append((self.applied, entry))
+                self.lost_state = False
+            self.results.applied.append((self.applied_index, entry))
--- a/merlintally/cluster/agreement/log.py
+++ b/merlintally/cluster/agreement/log.py
@@ -44,16 +44,16 @@
 
 
 class Snapshot(NamedTuple):
-    """The state after all entries up to index `upto`, encoded by the user of the core."""
+    """The state after all entries up to index `included_index`, encoded by the user of the core."""
 
-    upto: int = 0
+    included_index: int = 0
     term: int = 0
     config: Config = Config(())
     data: bytes = b""
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistentState:
     """The persistent state of a node, as read from disk at a start."""
 
     term: int = 0
@@ -61,13 +61,13 @@
     snapshot: Snapshot = Snapshot()
     entries: list[Entry] = field(default_factory=list)  # after the snapshot
 
-    def take(self, row: tuple[Any, ...]) -> None:
+    def apply(self, row: tuple[Any, ...]) -> None:
         """Apply one row of `Results.persist`; rows must be applied in order.
 
-        >>> kept = Kept()
+        >>> kept = PersistentState()
         >>> two = [Entry(2, DATA, b"x"), Entry(2, DATA, b"y")]
         >>> for row in (("vote", 2, "b"), ("add", 1, two), ("cut", 2)):
-        ...     kept.take(row)
+        ...     kept.apply(row)
         >>> kept.term, kept.vote, len(kept.entries)
         (2, 'b', 1)
         """
@@ -75,14 +75,16 @@
             case ("vote", term, vote):
                 self.term, self.vote = term, vote
             case ("cut", index):
-                del self.entries[max(0, index - self.snapshot.upto - 1) :]
+                del self.entries[max(0, index - self.snapshot.included_index - 1) :]
             case ("add", first, entries):
-                offset = first - self.snapshot.upto - 1
+                offset = first - self.snapshot.included_index - 1
                 if not 0 <= offset <= len(self.entries):
                     raise ValueError(f"the row appends at index {first}, which leaves a gap in the log")
                 self.entries[offset:] = entries
             case ("snapshot", replacement):
-                self.entries = self.entries[max(0, replacement.upto - self.snapshot.upto) :]
+                self.entries = self.entries[
+                    max(0, replacement.included_index - self.snapshot.included_index) :
+                ]
                 self.snapshot = replacement
             case _:
                 raise ValueError(f"unknown row kind {row[0]!r}")
@@ -91,17 +93,17 @@
 class Log:
     """Entries after a snapshot; the first log index is 1.
 
-    >>> log = Log(Kept(entries=[Entry(1, DATA, b"x"), Entry(2, DATA, b"y")]))
-    >>> log.last, log.term_at(1), log.term_at(3), log.truncate_from(2), log.last
+    >>> log = Log(PersistentState(entries=[Entry(1, DATA, b"x"), Entry(2, DATA, b"y")]))
+    >>> log.last_index, log.term_at(1), log.term_at(3), log.truncate_from(2), log.last_index
     (2, 1, None, None, 1)
     """
 
-    def __init__(self, stored: Kept) -> None:
+    def __init__(self, stored: PersistentState) -> None:
         self.snapshot, self.entries = stored.snapshot, list(stored.entries)
 
     @property
-    def last(self) -> int:
-        return self.snapshot.upto + len(self.entries)
+    def last_index(self) -> int:
+        return self.snapshot.included_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
@@ -109,18 +111,18 @@
 
     def term_at(self, index: int) -> int | None:
         """The term of the entry at `index`; None if it does not exist or was compacted."""
-        offset = index - self.snapshot.upto
+        offset = index - self.snapshot.included_index
         if offset == 0:
             return self.snapshot.term
         return self.entries[offset - 1].term if 0 < offset <= len(self.entries) else None
 
     def entry(self, index: int) -> Entry:
-        return self.entries[index - self.snapshot.upto - 1]
+        return self.entries[index - self.snapshot.included_index - 1]
 
     def entries_after(self, index: int, max_bytes: int) -> list[Entry]:
         """Entries after `index` of up to `max_bytes` in total, and at least one if there is any."""
         batch: list[Entry] = []
-        for entry in self.entries[index - self.snapshot.upto :]:
+        for entry in self.entries[index - self.snapshot.included_index :]:
             max_bytes -= len(entry.data) + 16
             if batch and max_bytes < 0:
                 break
@@ -129,11 +131,13 @@
 
     def truncate_from(self, index: int) -> None:
         """Delete the entry at `index` and all later ones."""
-        del self.entries[index - self.snapshot.upto - 1 :]
+        del self.entries[index - self.snapshot.included_index - 1 :]
 
     def restore_from(self, snapshot: Snapshot) -> bool:
         """Replace the log up to the snapshot; False if later entries conflicted with it and were dropped."""
-        matches = self.term_at(snapshot.upto) == snapshot.term
-        self.entries = self.entries[snapshot.upto - self.snapshot.upto :] if matches else []
+        matches = self.term_at(snapshot.included_index) == snapshot.term
+        self.entries = (
+            self.entries[snapshot.included_index - self.snapshot.included_index :] if matches else []
+        )
         self.snapshot = snapshot
         return matches
--- a/merlintally/cluster/copies/__init__.py
+++ b/merlintally/cluster/copies/__init__.py
@@ -2,6 +2,6 @@
 
 from merlintally.cluster.copies.holders import holders_of, shard_of
 from merlintally.cluster.copies.spread import FORMS, Copies, Terms
-from merlintally.cluster.copies.store import MISTAKES, Row, Store
+from merlintally.cluster.copies.store import INJECTED_FAULTS, Row, Store
 
-__all__ = ["FORMS", "MISTAKES", "Copies", "Row", "Store", "Terms", "holders_of", "shard_of"]
+__all__ = ["FORMS", "INJECTED_FAULTS", "Copies", "Row", "Store", "Terms", "holders_of", "shard_of"]
--- a/merlintally/cluster/copies/store.py
+++ b/merlintally/cluster/copies/store.py
@@ -21,7 +21,7 @@
 MOST_KEY, MOST_FIGURE = 200, 1e12
 BUCKETS = 16  # of a shard, whose digests tell where two copies of it differ
 
-MISTAKES = (  # planted by name, in tests only
+INJECTED_FAULTS = (  # planted by name, in tests only
     "a merge that adds",
     "a start is forgotten",
     "an older version taken",
--- a/merlintally/cluster/core.py
+++ b/merlintally/cluster/core.py
@@ -1,6 +1,6 @@
 """One node of a cluster as a pure state machine: Raft, membership, work coordination and state copies.
 
-Inputs are method calls (`hear`, `wake`, `synced`, `ask`), outputs are collected with `take_results`.
+Inputs are method calls (`receive`, `wake`, `synced`, `request`), outputs are collected with `take_results`.
 Message names are prefixed by the component that handles them: `r.` Raft, `m.` membership, `w.` work
 coordination, `c.` copies.
 """
@@ -15,21 +15,21 @@
 
 import msgspec
 
-from merlintally.cluster import UNWELL, agreement, copies, members
-from merlintally.cluster.agreement import Config, Entry, Kept, Pace, Raft
+from merlintally.cluster import MAX_UNHEALTHY_SHARE, agreement, copies, members
+from merlintally.cluster.agreement import Config, Entry, PersistentState, Raft, RaftSettings
 from merlintally.cluster.agreement.log import CONFIG, DATA, decode_config
 from merlintally.cluster.copies import Copies, Row
-from merlintally.cluster.members import Members, Rhythm
-from merlintally.cluster.members.core import DEAD, LEFT, START, STATES, SUSPECT
+from merlintally.cluster.members import Members, SwimSettings
+from merlintally.cluster.members.core import DEAD, INCARNATIONS_PER_START, LEFT, STATES, SUSPECT
 from merlintally.cluster.work.coordinator import Coordinator, Report, Terms, lost
 from merlintally.cluster.work.edge import Edge
 from merlintally.cluster.work.order import Seen
 from merlintally.cluster.work.parts import share_of
 from merlintally.cluster.work.state import entry, work_of
 
-FORMS: dict[str, Any] = {  # message name -> types of its arguments
-    **{f"r.{message}": types for message, types in agreement.FORMS.items()},
-    **{f"m.{message}": types for message, types in members.FORMS.items()},
+MESSAGE_TYPES: dict[str, Any] = {  # message name -> types of its arguments
+    **{f"r.{message}": types for message, types in agreement.MESSAGE_TYPES.items()},
+    **{f"m.{message}": types for message, types in members.MESSAGE_TYPES.items()},
     **{f"c.{message}": types for message, types in copies.FORMS.items()},
     "w.renew": tuple[float, Report, bool],  # sent at, report, whether the node has lost its persistent state
     "w.right": tuple[
@@ -40,14 +40,19 @@
     "w.ask": tuple[str, str, list[Any]],  # id, verb, arguments
     "w.answer": tuple[str, bool, str],  # id, success, text
 }
-STREAMED = ("r.", "w.", "c.", "m.state")  # prefixes of messages sent over streams; others are datagrams
+STREAMED_PREFIXES = (
+    "r.",
+    "w.",
+    "c.",
+    "m.state",
+)  # prefixes of messages sent over streams; others are datagrams
 COMPACT_AFTER_ENTRIES = 500
 MAX_RENEWAL_ENTRIES = 200  # log entries in one reply to a renewal
 MAX_PENDING_REQUESTS = 1024
-STEP_S = 0.1  # interval of the coordinator's steps
+COORDINATOR_STEP_S = 0.1  # interval of the coordinator's steps
 
 
-class Me(NamedTuple):
+class NodeIdentity(NamedTuple):
     """Identity of this node: `address` is for streams and datagrams, `start` increases with every start."""
 
     name: str
@@ -55,19 +60,19 @@
     start: int
 
 
-class Plan(NamedTuple):
+class ClusterSettings(NamedTuple):
     """Settings shared by all nodes of a cluster: initial voters, seed addresses, timing."""
 
     voters: tuple[str, ...]
     seeds: dict[str, str]
-    pace: Pace = Pace()
-    rhythm: Rhythm = Rhythm()
+    raft_settings: RaftSettings = RaftSettings()
+    swim_settings: SwimSettings = SwimSettings()
     terms: Terms = Terms()
     copies: copies.Terms | None = None  # None: state is not copied
 
 
 @dataclass(slots=True)
-class Local:
+class LocalObservations:
     """Local observations, updated before each `wake`."""
 
     busy_servers: frozenset[str] = frozenset()  # app servers with executions in progress
@@ -96,58 +101,58 @@
 
     def __init__(
         self,
-        identity: Me,
-        settings: Plan,
-        stored: Kept,
+        identity: NodeIdentity,
+        settings: ClusterSettings,
+        stored: PersistentState,
         random: Random,
         now: float,
         lost_state: bool = False,
-        mistakes: frozenset[str] = frozenset(),
+        injected_faults: frozenset[str] = frozenset(),
         rows: Iterable[Row] = (),
     ) -> None:
         """`stored` is the persistent state read from disk; `lost_state` marks a node that has lost it.
 
         `rows` are stored copies, used as hints until they are compared with those of other nodes.
         """
-        self.identity, self.settings, self.random, self.now, self.mistakes = (
+        self.identity, self.settings, self.random, self.now, self.injected_faults = (
             identity,
             settings,
             random,
             now,
-            mistakes,
+            injected_faults,
         )
         self.raft = Raft(
             identity.name,
             stored,
             Config(settings.voters),
-            settings.pace,
+            settings.raft_settings,
             Random(random.random()),
             now,
             lost_state,
-            mistakes,
+            injected_faults,
         )
         self.members = Members(
             identity.name,
             identity.address,
             settings.seeds,
             identity.start,
-            settings.rhythm,
+            settings.swim_settings,
             Random(random.random()),
             now,
-            mistakes,
+            injected_faults,
         )
         self.work = work_of(stored.snapshot.data)
-        self.work.index = max(self.work.index, stored.snapshot.upto)
+        self.work.index = max(self.work.index, stored.snapshot.included_index)
         self.work.voters = self.work.voters or settings.voters
-        self.edge = Edge(identity.name, identity.start, self.work, mistakes)
+        self.edge = Edge(identity.name, identity.start, self.work, injected_faults)
         self.copies: Copies | None = None
         if settings.copies is not None:
             copies_random = Random(random.random())
             self.copies = Copies(
-                identity.name, identity.start, settings.copies, copies_random, now, rows, mistakes
+                identity.name, identity.start, settings.copies, copies_random, now, rows, injected_faults
             )
             self._update_copies()
-        self.local = Local()
+        self.local = LocalObservations()
         self.coordinator: Coordinator | None = None
         self.leader_term = 0
         self.proposed: dict[str, int] = {}  # proposal of this leader -> log index
@@ -156,7 +161,7 @@
         self.queued_renewals: list[tuple[str, float, Report, bool]] = []
         self.renewal_rounds: dict[int, list[tuple[str, float, Report, bool]]] = {}
         self.renewal_round = 0
-        self.guess = ""  # leader as last reported by another node
+        self.leader_hint = ""  # leader as last reported by another node
         self.renew_at, self.step_at = now, now
         self.renewal_sent_at = 0.0  # send time of the unanswered renewal; 0 if none
         self.events: list[tuple[str, dict[str, Any]]] = []
@@ -179,16 +184,22 @@
         leased = now < edge.until + terms.lease_s
         known_share = edge.caught_up and not edge.said_gone
         return share_of(
-            self.work.parts, customer, self.identity.name, terms.even, leased, known_share, self.mistakes
+            self.work.parts,
+            customer,
+            self.identity.name,
+            terms.even,
+            leased,
+            known_share,
+            self.injected_faults,
         )
 
     @property
     def leads(self) -> bool:
         """Whether this node leads and has committed an entry of its term, and so all earlier ones."""
         raft = self.raft
-        return raft.role == "leader" and raft.log.term_at(raft.commit) == raft.term
+        return raft.role == "leader" and raft.log.term_at(raft.commit_index) == raft.term
 
-    def ask(self, now: float, request_id: str, verb: str, args: list[Any], requester: str = "") -> None:
+    def request(self, now: float, request_id: str, verb: str, args: list[Any], requester: str = "") -> None:
         """Handle a request of an operator or of another node.
 
         It is answered or proposed here, or forwarded to the leader. It may be repeated with the same id and
@@ -210,7 +221,10 @@
         elif verb == "starts?":
             member = self.members.known.get(str(args[0]))
             self._answer(
-                request_id, requester, True, str(member.incarnation // START if member is not None else 0)
+                request_id,
+                requester,
+                True,
+                str(member.incarnation // INCARNATIONS_PER_START if member is not None else 0),
             )
             return
         elif self.raft.role == "leader" and verb == "turn":
@@ -250,9 +264,9 @@
             "leader": self._known_leader(),
             "term": self.raft.term,
             "index": work.index,
-            "commit": self.raft.commit,
+            "commit": self.raft.commit_index,
             "leads": self.leads,
-            "blank": self.raft.blank,
+            "blank": self.raft.lost_state,
             "caught_up": self.edge.caught_up,
             "lease_left_s": round(self.edge.until + self.settings.terms.lease_s - now, 3),
             "voters": list(self.raft.config.voters),
@@ -317,18 +331,18 @@
             }
         return answer
 
-    def hears_all(self, now: float) -> bool:
+    def sees_all_draws(self, now: float) -> bool:
         """Whether the draws of nearly all other nodes reach this node promptly.
 
         This requires that the node has caught up, holds a valid lease (so it is on the side of a partition
         that has a majority), that the holders of its own rows respond, and that not more than a share of
-        UNWELL of the members is suspect or dead. A small share is tolerated: otherwise one dead
+        MAX_UNHEALTHY_SHARE of the members is suspect or dead. A small share is tolerated: otherwise one dead
         node would send all others to the counter.
         """
         local_copies, known = self.copies, self.members.known.values()
         unhealthy = sum(member.state in (SUSPECT, DEAD) for member in known)
         leased = now < self.edge.until + self.settings.terms.lease_s
-        if local_copies is None or not leased or unhealthy > UNWELL * len(known):
+        if local_copies is None or not leased or unhealthy > MAX_UNHEALTHY_SHARE * len(known):
             return False
         return local_copies.caught_up and not local_copies.unheard(now)
 
@@ -343,7 +357,7 @@
         output.persist, output.number = raft.persist, raft.number
         output.sends += [(to, f"r.{message}", args) for to, message, args in raft.sends]
         if raft.restored is not None:
-            self._restore_work(raft.restored.data, raft.restored.upto)
+            self._restore_work(raft.restored.data, raft.restored.included_index)
         for index, log_entry in raft.applied:
             self._apply(index, log_entry)
         for token, index in raft.reads:
@@ -369,8 +383,8 @@
             ("member", {"who": name, "state": STATES[state]}) for name, state in membership.changed
         ]
         if (
-            self.raft.applied - self.raft.log.snapshot.upto >= COMPACT_AFTER_ENTRIES
-            and self.work.index == self.raft.applied
+            self.raft.applied_index - self.raft.log.snapshot.included_index >= COMPACT_AFTER_ENTRIES
+            and self.work.index == self.raft.applied_index
         ):
             self.raft.compact(self.now, self.work.encode())
         if self.copies is not None:
@@ -397,14 +411,14 @@
 
     # Inputs.
 
-    def hear(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
+    def receive(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
         """Handle a message of another node."""
         self.now = now
         part, _, name = call.partition(".")
         if part == "r":
-            self.raft.hear(now, sender, name, args)
+            self.raft.receive(now, sender, name, args)
         elif part == "m":
-            self.members.hear(now, sender, name, args)
+            self.members.receive(now, sender, name, args)
         elif part == "c":
             if self.copies is not None:
                 self.copies.hear(now, sender, name, args)
@@ -426,10 +440,10 @@
         if now >= self.renew_at:
             self._send_renewal()
         if self.raft.role == "leader" and now >= self.step_at:
-            self.step_at = now + STEP_S
+            self.step_at = now + COORDINATOR_STEP_S
             self._run_coordinator()
         for request_id, (requester, since) in list(self.pending_requests.items()):
-            if now - since > 10 * self.settings.pace.election_s:
+            if now - since > 10 * self.settings.raft_settings.election_s:
                 del self.pending_requests[request_id]
                 self._answer(
                     request_id,
@@ -470,9 +484,9 @@
             local.requested_shares,
         )
         if to == self.identity.name:
-            self._on_renew(to, self.now, report, self.raft.blank)
+            self._on_renew(to, self.now, report, self.raft.lost_state)
         else:
-            self._reply(to, "w.renew", (self.now, report, self.raft.blank))
+            self._reply(to, "w.renew", (self.now, report, self.raft.lost_state))
 
     def _on_renew(self, sender: str, sent_at: float, report: Report, lost_state: bool) -> None:
         if self.raft.role != "leader":
@@ -485,7 +499,7 @@
         ):
             # Its promises are lost: remove it from the voters. It is added again once it has caught up.
             voters = tuple(name for name in self.raft.config.voters if name != sender)
-            if self._change(Config(voters, (*self.raft.config.learners, sender))):
+            if self._propose_config(Config(voters, (*self.raft.config.learners, sender))):
                 self.removed_voters[sender] = report.start
                 self.raft.forget_peer(sender)
                 self.events.append(("blank", {"who": sender, "its_start": report.start}))
@@ -497,8 +511,8 @@
         if self.queued_renewals:
             self.renewal_round += 1
             self.renewal_rounds[self.renewal_round], self.queued_renewals = self.queued_renewals, []
-            if "an old leader's word renews" in self.mistakes:
-                self._round_confirmed(self.renewal_round, self.raft.commit)
+            if "an old leader's word renews" in self.injected_faults:
+                self._round_confirmed(self.renewal_round, self.raft.commit_index)
             else:
                 self.raft.read(self.now, self.renewal_round)
 
@@ -509,7 +523,7 @@
                 self.coordinator.renewed(self.now, node, report)
                 (self.coordinator.blank.add if lost_state else self.coordinator.blank.discard)(node)
             state, entries = b"", list[tuple[int, Entry]]()
-            if report.acts_on < self.raft.log.snapshot.upto:
+            if report.acts_on < self.raft.log.snapshot.included_index:
                 state = self.work.encode()
             else:
                 end = min(self.work.index, report.acts_on + MAX_RENEWAL_ENTRIES)
@@ -519,7 +533,7 @@
     def _on_right(
         self, sender: str, sent_at: float, index: int, state: bytes, entries: list[tuple[int, Entry]]
     ) -> None:
-        self.guess, self.renewal_sent_at = sender, 0.0
+        self.leader_hint, self.renewal_sent_at = sender, 0.0
         if state:
             self._restore_work(state, 0)
         for entry_index, log_entry in entries:
@@ -536,7 +550,7 @@
             self.renew_at = min(self.renew_at, self.now + spread * self.random.random())
 
     def _on_elsewhere(self, sender: str, sent_at: float, leader: str) -> None:
-        self.guess = leader if leader != self.identity.name else ""
+        self.leader_hint = leader if leader != self.identity.name else ""
         if leader:
             self.renew_at = min(self.renew_at, self.now + 0.02)
             self.renewal_sent_at = 0.0
@@ -548,7 +562,7 @@
             self.results.sends.append((to, call, args))
 
     def _on_ask(self, sender: str, request_id: str, verb: str, args: list[Any]) -> None:
-        self.ask(self.now, request_id, verb, args, sender)
+        self.request(self.now, request_id, verb, args, sender)
 
     def _turn_status(self, machine: str) -> str:
         """The turn of a machine as JSON: number (0: none), state, what it waits for, why it is not next."""
@@ -593,7 +607,7 @@
         if index != self.work.index + 1:
             return
         if log_entry.kind == DATA:
-            request_id, why = self.work.take(index, log_entry.data, self.mistakes)
+            request_id, why = self.work.take(index, log_entry.data, self.injected_faults)
             if (asked := self.pending_requests.get(request_id)) is not None:
                 del self.pending_requests[request_id]
                 self._answer(request_id, asked[0], not why, why)
@@ -624,7 +638,9 @@
         self.term = self.raft.term
         if self.raft.role == "leader":
             self.leader_term = self.raft.term
-            self.coordinator = Coordinator(self.identity.name, self.settings.terms, self.now, self.mistakes)
+            self.coordinator = Coordinator(
+                self.identity.name, self.settings.terms, self.now, self.injected_faults
+            )
             self.proposed, self.removed_voters, self.step_at = {}, {}, self.now
             self.events.append(("leader", {"term": self.raft.term}))
         else:
@@ -638,7 +654,7 @@
 
     def _run_coordinator(self) -> None:
         self._begin_round()
-        if not self.leads or self.coordinator is None or self.work.index < self.raft.commit:
+        if not self.leads or self.coordinator is None or self.work.index < self.raft.commit_index:
             return
         self._promote_learner()
         commands, transfer_first = self.coordinator.step(self.now, self.work, self._observe_fleet())
@@ -650,7 +666,7 @@
             key = ":".join(map(str, (verb, *args)))
             if key not in self.proposed:
                 index = self.raft.propose(
-                    self.now, entry(f"{key}:{self.raft.term}:{self.raft.log.last}", verb, *args)
+                    self.now, entry(f"{key}:{self.raft.term}:{self.raft.log.last_index}", verb, *args)
                 )
                 if index:
                     self.proposed[key] = index
@@ -687,7 +703,7 @@
             if name in self.raft.config.voters
         )
         if ranked and not self.raft.transfer_target:
-            self.raft.transfer(self.now, ranked[-1][-1])
+            self.raft.transfer_leadership(self.now, ranked[-1][-1])
 
     def _change_voters(self, request_id: str, verb: str, args: list[Any], requester: str) -> None:
         """Add a voter as a learner first, or remove one."""
@@ -703,7 +719,7 @@
             )
         if new_config == current:
             self._answer(request_id, requester, True, "")
-        elif self._change(new_config):
+        elif self._propose_config(new_config):
             self._answer(request_id, requester, True, "begun; see the voters in status")
         else:
             self._answer(
@@ -714,7 +730,7 @@
                 "ask again",
             )
 
-    def _change(self, new_config: Config) -> bool:
+    def _propose_config(self, new_config: Config) -> bool:
         """Begin a change of the configuration; False if it is not possible now.
 
         Voters are not changed if machines with a turn would then hold half of the votes. Whether a machine
@@ -722,12 +738,12 @@
         """
         work, raft = self.work, self.raft
         changes_voters = (
-            new_config.voters != raft.config.voters and "voters are not counted" not in self.mistakes
+            new_config.voters != raft.config.voters and "voters are not counted" not in self.injected_faults
         )
-        has_unapplied = raft.log.last > work.index
+        has_unapplied = raft.log.last_index > work.index
         if changes_voters and (has_unapplied or self._loses_majority(new_config)):
             return False
-        return raft.change(self.now, new_config)
+        return raft.change_config(self.now, new_config)
 
     def _loses_majority(self, new_config: Config) -> bool:
         out = self.work.beyond_call()
@@ -748,9 +764,9 @@
             peer = raft.peers.get(name)
             if (
                 peer is not None
-                and peer.match_index >= raft.commit
+                and peer.match_index >= raft.commit_index
                 and self.members.state(name) == 0
-                and self._change(
+                and self._propose_config(
                     Config(
                         (*raft.config.voters, name),
                         tuple(learner for learner in raft.config.learners if learner != name),
@@ -761,4 +777,4 @@
                 return
 
     def _known_leader(self) -> str:
-        return self.raft.leader or self.guess
+        return self.raft.leader or self.leader_hint
--- a/merlintally/cluster/disk.py
+++ b/merlintally/cluster/disk.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from merlintally.cluster.agreement import Entry, Kept, Snapshot
+from merlintally.cluster.agreement import Entry, PersistentState, Snapshot
 from merlintally.cluster.copies import Row
 
-FORM = b"merlintally log 1\n"  # file header
+LOG_HEADER = b"merlintally log 1\n"  # file header
 CLOSED_DESCRIPTOR = -1
 RECORD_HEADER_BYTES = 8  # length and checksum
 MAX_RECORD_BYTES = 64 << 20
@@ -30,15 +30,15 @@
 }
 
 
-class Spoilt(Exception):
+class CorruptFolder(Exception):
     """The folder is corrupt: a record that was on disk is not what was written."""
 
 
-class Full(Exception):
+class WriteFailed(Exception):
     """A write failed, and none of its rows are on disk."""
 
 
-def record_of(row: tuple[Any, ...]) -> bytes:
+def encode_record(row: tuple[Any, ...]) -> bytes:
     """Encode a row as a record of the log."""
     body = msgspec.msgpack.encode(row)
     return len(body).to_bytes(4, "little") + zlib.crc32(body).to_bytes(4, "little") + body
@@ -64,15 +64,15 @@
     )
 
 
-def read_log(data: bytes, name: str) -> tuple[Kept, int]:
+def read_log(data: bytes, name: str) -> tuple[PersistentState, int]:
     """Decode a log; returns its state and the size of its valid part.
 
     An invalid last record is ignored: the process ended while it was written, so it was never acknowledged.
-    Spoilt if a valid record follows an invalid one.
+    CorruptFolder if a valid record follows an invalid one.
     """
-    if not data.startswith(FORM):
-        raise Spoilt(f"{name}: unknown log format ({data[:18]!r})")
-    kept, offset = Kept(), len(FORM)
+    if not data.startswith(LOG_HEADER):
+        raise CorruptFolder(f"{name}: unknown log format ({data[:18]!r})")
+    state, offset = PersistentState(), len(LOG_HEADER)
     while offset < len(data):
         body = record_at(data, offset)
         if body is None:
@@ -80,24 +80,24 @@
                 record_at(data, later_offset) is not None
                 for later_offset in range(offset + 1, len(data) - RECORD_HEADER_BYTES)
             ):
-                raise Spoilt(
+                raise CorruptFolder(
                     f"{name}: the record at byte {offset} is corrupt, and valid ones follow: move the folder "
                     "away and restart the node without it"
                 )
             break
         try:
-            kept.take(decode_row(body))
+            state.apply(decode_row(body))
         except (ValueError, KeyError, TypeError, msgspec.MsgspecError) as error:
-            raise Spoilt(f"{name}: the record at byte {offset} can't be decoded: {error}") from None
+            raise CorruptFolder(f"{name}: the record at byte {offset} can't be decoded: {error}") from None
         offset += RECORD_HEADER_BYTES + len(body)
-    return kept, offset
+    return state, offset
 
 
 class Disk:
     """A node's folder, locked by one process. `write` blocks until rows are synced: run it in a thread."""
 
     def __init__(self, folder: Path) -> None:
-        """Open or create the folder; Spoilt if it is corrupt, OSError if it is locked."""
+        """Open or create the folder; CorruptFolder if it is corrupt, OSError if it is locked."""
         self.folder, self.path = folder, folder / "agreement.log"
         self.file = self.synced_size_file = CLOSED_DESCRIPTOR
         self.needs_repair = False  # a write failed, so the log may hold more than was acknowledged
@@ -110,26 +110,26 @@
             raise OSError(f"{folder}: another process holds this folder") from None
         try:
             self.synced_size_file = os.open(folder / "synced", os.O_RDWR | os.O_CREAT, 0o644)
-            self.blank = not self.path.exists()
-            if self.blank:
+            self.lost_state = not self.path.exists()
+            if self.lost_state:
                 # Before the log: a start that is killed between the two must not vote.
                 (folder / "blank").touch()
                 self._sync_folder()
-                self.kept = Kept()
+                self.state = PersistentState()
                 self._write_log()
             data = self.path.read_bytes()
-            self.kept, self.size = read_log(data, str(self.path))
+            self.state, self.size = read_log(data, str(self.path))
             if self.size < self._read_synced_size() <= len(data):
-                raise Spoilt(
+                raise CorruptFolder(
                     f"{self.path}: the last record at byte {self.size} was on disk, and is corrupt: move the "
                     "folder away and restart the node without it"
                 )
-            self.torn = len(data) - self.size
+            self.torn_bytes = len(data) - self.size
             self.file = os.open(self.path, os.O_WRONLY)
             os.ftruncate(self.file, self.size)
             os.lseek(self.file, 0, os.SEEK_END)
             self._write_synced_size(self.size)
-            self.blank = self.blank or (folder / "blank").exists()
+            self.lost_state = self.lost_state or (folder / "blank").exists()
             self.start = self._next_start()
         except BaseException:
             for descriptor in (self.file, self.synced_size_file, self.lock):
@@ -157,7 +157,7 @@
         try:
             previous_start = int(path.read_text()) if path.exists() else 0
         except ValueError:
-            raise Spoilt(f"{path}: is not a number") from None
+            raise CorruptFolder(f"{path}: is not a number") from None
         self.write_start(previous_start + 1)
         return previous_start + 1
 
@@ -165,20 +165,20 @@
         """Store the number of starts of this node."""
         self._replace_file("start", str(number).encode())
 
-    def admitted(self) -> None:
+    def mark_admitted(self) -> None:
         """Record that this node may vote, now that it has been added to the voters again."""
-        if self.blank:
+        if self.lost_state:
             (self.folder / "blank").unlink(missing_ok=True)
             self._sync_folder()
-            self.blank = False
+            self.lost_state = False
 
-    def keep(self, rows: list[Row]) -> None:
+    def store_copies(self, rows: list[Row]) -> None:
         """Store copies of other nodes' state, as hints for the next start."""
         body = msgspec.msgpack.encode(rows)
         self._replace_file("copies", zlib.crc32(body).to_bytes(4, "little") + body)
 
-    def kept_rows(self) -> list[Row]:
-        """The rows last stored by `keep`; empty if the file is missing or corrupt."""
+    def load_copies(self) -> list[Row]:
+        """The rows last stored by `store_copies`; empty if the file is missing or corrupt."""
         path = self.folder / "copies"
         data = path.read_bytes() if path.exists() else b""
         if zlib.crc32(data[4:]).to_bytes(4, "little") != data[:4]:
@@ -188,7 +188,7 @@
         except msgspec.MsgspecError:
             return []
 
-    def set_aside(self) -> None:
+    def reset_log(self) -> None:
         """Start with an empty log, because the folder is older than what other nodes have seen.
 
         The old log is kept under another name. After an OSError the old log is still in use, and the call may
@@ -199,29 +199,29 @@
             number += 1
         os.link(self.path, backup)
         (self.folder / "blank").touch()
-        self.blank = True
-        kept, self.kept, self.needs_repair = self.kept, Kept(), True
+        self.lost_state = True
+        state, self.state, self.needs_repair = self.state, PersistentState(), True
         try:
             self._replace_log()
             self.needs_repair = False
         except OSError:
             if os.path.samestat(os.stat(self.path), os.fstat(self.file)):  # not replaced
-                self.kept = kept
+                self.state = state
                 raise
 
     def write(self, rows: list[tuple[Any, ...]]) -> None:
-        """Write and sync rows, all or none; Full if that fails, after which it may be repeated."""
+        """Write and sync rows, all or none; WriteFailed if that fails, after which it may be repeated."""
         try:
             self._repair()
             self._write(rows)
         except OSError as error:
             self.needs_repair = True
-            with suppress(Full):
+            with suppress(WriteFailed):
                 self._repair()
-            raise Full(f"{self.path}: {error.strerror}") from None
+            raise WriteFailed(f"{self.path}: {error.strerror}") from None
 
     def _repair(self) -> None:
-        """Restore the acknowledged log after a failed write; Full while that is not possible.
+        """Restore the acknowledged log after a failed write; WriteFailed while that is not possible.
 
         Otherwise rows could follow the remains of a failed write, or go to a file that a failed snapshot has
         already replaced, and would not be read at the next start.
@@ -237,24 +237,24 @@
                 os.fsync(descriptor)
                 os.lseek(descriptor, 0, os.SEEK_END)
                 self._sync_folder()
-                kept = read_log(self.path.read_bytes(), str(self.path))[0]
+                state = read_log(self.path.read_bytes(), str(self.path))[0]
             except BaseException:
                 os.close(descriptor)
                 raise
         except OSError as error:
-            raise Full(f"{self.path}: {error.strerror}") from None
+            raise WriteFailed(f"{self.path}: {error.strerror}") from None
         os.close(self.file)
-        self.file, self.kept, self.needs_repair = descriptor, kept, False
+        self.file, self.state, self.needs_repair = descriptor, state, False
         self._write_synced_size(self.size)
 
     def _write(self, rows: list[tuple[Any, ...]]) -> None:
         data = b""
         for row in rows:
             if row[0] != "snapshot":
-                data += record_of(row)
-                self.kept.take(row)
+                data += encode_record(row)
+                self.state.apply(row)
             else:  # replaces the log by the snapshot, the vote and the entries after it
-                self.kept.take(row)
+                self.state.apply(row)
                 self._replace_log()
                 data = b""
         if not data:
@@ -275,10 +275,14 @@
         self.size = os.lseek(self.file, 0, os.SEEK_END)
 
     def _write_log(self) -> None:
-        kept = self.kept
-        data = FORM + record_of(("snapshot", kept.snapshot)) + record_of(("vote", kept.term, kept.vote))
-        if kept.entries:
-            data += record_of(("add", kept.snapshot.upto + 1, kept.entries))
+        state = self.state
+        data = (
+            LOG_HEADER
+            + encode_record(("snapshot", state.snapshot))
+            + encode_record(("vote", state.term, state.vote))
+        )
+        if state.entries:
+            data += encode_record(("add", state.snapshot.included_index + 1, state.entries))
         self._write_synced_size(0)  # unknown until the new log is in place
         self._replace_file("agreement.log", data)
         self._write_synced_size(len(data))
--- a/merlintally/cluster/links.py
+++ b/merlintally/cluster/links.py
@@ -21,15 +21,15 @@
 import anyio.abc
 import msgspec
 
-from merlintally.cluster.core import FORMS
+from merlintally.cluster.core import MESSAGE_TYPES
 from merlintally.net.configuration import Address
 from merlintally.net.log import Log
 
-FORM = 1  # version of the format of frames and datagrams
+FORMAT_VERSION = 1  # version of the format of frames and datagrams
 MAC_BYTES = 16
-MOST_HELLO = 512  # bytes
-MOST_FRAME = 8 << 20  # bytes
-MOST_DATAGRAM = 1400  # bytes
+MAX_HELLO_BYTES = 512
+MAX_FRAME_BYTES = 8 << 20
+MAX_DATAGRAM_BYTES = 1400
 MAX_QUEUED_FRAMES = 512  # per receiver
 MIN_RECONNECT_DELAY_S = 0.05
 MAX_RECONNECT_DELAY_S = 1.0
@@ -45,14 +45,14 @@
 DROP_LOG_INTERVAL_S = 5.0  # between log lines about dropped frames
 
 Hello = tuple[int, str, str, int, str]  # format version, cluster, node, start, process instance
-DECODERS = {call: msgspec.msgpack.Decoder(types) for call, types in FORMS.items()}
+DECODERS = {call: msgspec.msgpack.Decoder(types) for call, types in MESSAGE_TYPES.items()}
 ENVELOPE_DECODER = msgspec.msgpack.Decoder(tuple[str, msgspec.Raw])
 HELLO_DECODER = msgspec.msgpack.Decoder(Hello)
 # "welcome" or "refused", reason, last known start
 HELLO_REPLY_DECODER = msgspec.msgpack.Decoder(tuple[str, str, int])
 
 
-class Bad(Exception):
+class InvalidFrame(Exception):
     """A frame that is rejected; the text gives the reason."""
 
 
@@ -67,12 +67,12 @@
         return blake2b(body, digest_size=MAC_BYTES, key=self.key).digest() + body
 
     def open(self, data: bytes) -> bytes:
-        """Verify and remove the keyed hash; Bad if it does not match."""
+        """Verify and remove the keyed hash; InvalidFrame if it does not match."""
         body = data[MAC_BYTES:]
         if len(data) <= MAC_BYTES or not hmac.compare_digest(
             data[:MAC_BYTES], blake2b(body, digest_size=MAC_BYTES, key=self.key).digest()
         ):
-            raise Bad("of another cluster, or corrupt")
+            raise InvalidFrame("of another cluster, or corrupt")
         return body
 
     def frame(self, value: Any) -> bytes:
@@ -81,19 +81,19 @@
         return len(data).to_bytes(4, "big") + data
 
 
-def call_of(body: bytes) -> tuple[str, tuple[Any, ...]]:
+def decode_message(body: bytes) -> tuple[str, tuple[Any, ...]]:
     """Decode a message into its name and its arguments, which are checked against their types."""
     try:
         call, raw = ENVELOPE_DECODER.decode(body)
         if call not in DECODERS:
-            raise Bad(f"unknown message {call!r:.20}")
+            raise InvalidFrame(f"unknown message {call!r:.20}")
         return call, DECODERS[call].decode(raw)
     except msgspec.MsgspecError as error:
-        raise Bad(f"can't be decoded: {error}") from None
+        raise InvalidFrame(f"can't be decoded: {error}") from None
 
 
 async def read_frame(stream: anyio.abc.ByteReceiveStream, buffer: bytearray, max_bytes: int) -> bytes:
-    """Read the next frame; EndOfStream at the end, Bad if it is longer than `max_bytes`.
+    """Read the next frame; EndOfStream at the end, InvalidFrame if it is longer than `max_bytes`.
 
     `buffer` keeps bytes of later frames between calls.
     """
@@ -101,7 +101,7 @@
         if len(buffer) >= 4:
             size = int.from_bytes(buffer[:4], "big")
             if not MAC_BYTES < size <= max_bytes:
-                raise Bad(f"frame is {size} bytes long, of at most {max_bytes}")
+                raise InvalidFrame(f"frame is {size} bytes long, of at most {max_bytes}")
             if len(buffer) >= 4 + size:
                 data = bytes(buffer[4 : 4 + size])
                 del buffer[: 4 + size]
@@ -109,7 +109,7 @@
         buffer += await stream.receive(65536)
 
 
-class Outward:
+class OutboundStream:
     """Frames queued for the stream to one other node; when full, the oldest are dropped."""
 
     def __init__(self, name: str) -> None:
@@ -150,8 +150,8 @@
         )
         self.on_request = on_request
         self.instance_id = f"{rng.getrandbits(64):016x}"
-        self.outward: dict[str, Outward] = {}
-        self.inward: dict[str, anyio.CancelScope] = {}
+        self.outbound: dict[str, OutboundStream] = {}
+        self.inbound: dict[str, anyio.CancelScope] = {}
         self.starts: dict[str, tuple[int, str]] = {}  # node -> last start and instance
         self.dropped: Counter[str] = Counter()
         self.last_drop_logged_at = float("-inf")
@@ -179,20 +179,20 @@
 
     def send(self, to: str, call: str, args: tuple[Any, ...]) -> None:
         """Queue a message for the stream to a node. It is lost if the stream breaks or the queue is full."""
-        outward = self.outward.get(to)
-        if outward is None:
-            outward = self.outward[to] = Outward(to)
-            self.group.start_soon(self._run_outbound, outward)
-        if len(outward.queue) == MAX_QUEUED_FRAMES:
+        outbound = self.outbound.get(to)
+        if outbound is None:
+            outbound = self.outbound[to] = OutboundStream(to)
+            self.group.start_soon(self._run_outbound, outbound)
+        if len(outbound.queue) == MAX_QUEUED_FRAMES:
             self.dropped["queue full"] += 1
-        outward.queue.append(self.codec.frame((call, args)))
-        outward.not_empty.set()
+        outbound.queue.append(self.codec.frame((call, args)))
+        outbound.not_empty.set()
 
-    def tell(self, to: str, call: str, args: tuple[Any, ...]) -> None:
+    def send_datagram(self, to: str, call: str, args: tuple[Any, ...]) -> None:
         """Send a message as a datagram."""
         address = self.resolve(to)
-        data = self.codec.seal(msgspec.msgpack.encode((FORM, self.cluster, self.name, call, args)))
-        if address is None or self.udp is None or len(data) > MOST_DATAGRAM:
+        data = self.codec.seal(msgspec.msgpack.encode((FORMAT_VERSION, self.cluster, self.name, call, args)))
+        if address is None or self.udp is None or len(data) > MAX_DATAGRAM_BYTES:
             self.dropped["datagram unsent"] += 1
             return
         self.sent_bytes += len(data)
@@ -214,13 +214,13 @@
 
     # Outbound streams.
 
-    async def _run_outbound(self, outward: Outward) -> None:
+    async def _run_outbound(self, outbound: OutboundStream) -> None:
         delay_s = MIN_RECONNECT_DELAY_S
         while True:
-            if not outward.queue:
-                outward.not_empty = anyio.Event()
-                await outward.not_empty.wait()
-            address = self.resolve(outward.name)
+            if not outbound.queue:
+                outbound.not_empty = anyio.Event()
+                await outbound.not_empty.wait()
+            address = self.resolve(outbound.name)
             try:
                 if address is None:
                     raise OSError("no address")
@@ -232,26 +232,28 @@
                     )
                     await self._send_hello(stream)
                     delay_s = MIN_RECONNECT_DELAY_S
-                    await self._pour(outward, stream)
-            except (*CONNECTION_ERRORS, Bad, msgspec.MsgspecError) as error:
-                if isinstance(error, Bad):
-                    self.drop(str(error), outward.name)
-                outward.queue.clear()  # messages would be outdated by the time of a reconnection
+                    await self._run_stream(outbound, stream)
+            except (*CONNECTION_ERRORS, InvalidFrame, msgspec.MsgspecError) as error:
+                if isinstance(error, InvalidFrame):
+                    self.drop(str(error), outbound.name)
+                outbound.queue.clear()  # messages would be outdated by the time of a reconnection
                 await anyio.sleep(delay_s * (0.5 + self.rng.random()))
                 delay_s = min(MAX_RECONNECT_DELAY_S, delay_s * 2)
 
     async def _send_hello(self, stream: anyio.abc.SocketStream) -> None:
-        await stream.send(self.codec.frame((FORM, self.cluster, self.name, self.start, self.instance_id)))
+        await stream.send(
+            self.codec.frame((FORMAT_VERSION, self.cluster, self.name, self.start, self.instance_id))
+        )
         with anyio.fail_after(STREAM_TIMEOUT_S):
             status, reason, start = HELLO_REPLY_DECODER.decode(
-                self.codec.open(await read_frame(stream, bytearray(), MOST_HELLO))
+                self.codec.open(await read_frame(stream, bytearray(), MAX_HELLO_BYTES))
             )
         if status != "welcome":
             if start:
                 await self.on_newer_start(start)
-            raise Bad(f"refused: {reason}")
+            raise InvalidFrame(f"refused: {reason}")
 
-    async def _pour(self, outward: Outward, stream: anyio.abc.SocketStream) -> None:
+    async def _run_stream(self, outbound: OutboundStream, stream: anyio.abc.SocketStream) -> None:
         async with anyio.create_task_group() as group:
 
             async def watch() -> None:
@@ -262,19 +264,19 @@
             group.start_soon(watch)
             # An error in a send must end this stream only, not the task group of all.
             with suppress(*CONNECTION_ERRORS):
-                await self._send_all(outward, stream)
+                await self._send_all(outbound, stream)
             group.cancel_scope.cancel()
 
-    async def _send_all(self, outward: Outward, stream: anyio.abc.SocketStream) -> None:
+    async def _send_all(self, outbound: OutboundStream, stream: anyio.abc.SocketStream) -> None:
         while True:
-            while outward.queue:
-                data = b"".join(outward.queue)
-                outward.queue.clear()
+            while outbound.queue:
+                data = b"".join(outbound.queue)
+                outbound.queue.clear()
                 self.sent_bytes += len(data)
                 with anyio.fail_after(STREAM_TIMEOUT_S):  # the receiver may have stopped reading
                     await stream.send(data)
-            outward.not_empty = anyio.Event()
-            await outward.not_empty.wait()
+            outbound.not_empty = anyio.Event()
+            await outbound.not_empty.wait()
 
     # Inbound streams and datagrams.
 
@@ -284,39 +286,41 @@
         try:
             async with stream:
                 with anyio.fail_after(STREAM_TIMEOUT_S):
-                    body = self.codec.open(await read_frame(stream, buffer, MOST_HELLO))
+                    body = self.codec.open(await read_frame(stream, buffer, MAX_HELLO_BYTES))
                 version, cluster, name, start, instance_id = HELLO_DECODER.decode(body)
                 reason, known = self._check_hello(version, cluster, name, start, instance_id)
                 if reason:
                     await stream.send(self.codec.frame(("refused", reason, known)))
-                    raise Bad(reason)
+                    raise InvalidFrame(reason)
                 await stream.send(self.codec.frame(("welcome", "", 0)))
                 if name.startswith("client:"):
                     await self._serve_client(stream, buffer)
                     return
-                if (previous := self.inward.get(name)) is not None:
+                if (previous := self.inbound.get(name)) is not None:
                     previous.cancel()
                 with scope:
-                    self.inward[name] = scope
+                    self.inbound[name] = scope
                     while True:
-                        call, args = call_of(self.codec.open(await read_frame(stream, buffer, MOST_FRAME)))
+                        call, args = decode_message(
+                            self.codec.open(await read_frame(stream, buffer, MAX_FRAME_BYTES))
+                        )
                         await self.on_message(name, call, args)
-        except Bad as error:
+        except InvalidFrame as error:
             self.drop(str(error), name)
         except msgspec.MsgspecError:
             self.drop("hello can't be decoded", name)
         except CONNECTION_ERRORS:
             pass
         finally:
-            if self.inward.get(name) is scope:
-                del self.inward[name]
+            if self.inbound.get(name) is scope:
+                del self.inbound[name]
 
     def _check_hello(
         self, version: int, cluster: str, name: str, start: int, instance_id: str
     ) -> tuple[str, int]:
         """The reason to refuse a stream or "", and the last known start of its node if it is the reason."""
-        if version != FORM:
-            return f"frame format {version}, expected {FORM}", 0
+        if version != FORMAT_VERSION:
+            return f"frame format {version}, expected {FORMAT_VERSION}", 0
         if cluster != self.cluster:
             return f"of cluster {cluster!r:.40}", 0
         if name.startswith("client:"):
@@ -332,9 +336,9 @@
     async def _serve_client(self, stream: anyio.abc.SocketStream, buffer: bytearray) -> None:
         """Answer the requests of an operator's client, one after another."""
         while True:
-            call, args = call_of(self.codec.open(await read_frame(stream, buffer, MOST_FRAME)))
+            call, args = decode_message(self.codec.open(await read_frame(stream, buffer, MAX_FRAME_BYTES)))
             if call != "w.ask":
-                raise Bad(f"a client sent {call}")
+                raise InvalidFrame(f"a client sent {call}")
             ok, text = await self.on_request(*args)
             await stream.send(self.codec.frame(("w.answer", (args[0], ok, text))))
 
@@ -343,25 +347,25 @@
         while True:
             await anyio.wait_readable(sock)
             try:
-                data, sender = sock.recvfrom(MOST_DATAGRAM + 1)
+                data, sender = sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 continue
             try:
-                if len(data) > MOST_DATAGRAM:
-                    raise Bad("datagram too long")
+                if len(data) > MAX_DATAGRAM_BYTES:
+                    raise InvalidFrame("datagram too long")
                 version, cluster, name, call, raw = decoder.decode(self.codec.open(data))
-                if version != FORM or cluster != self.cluster:
-                    raise Bad(f"frame format {version}, cluster {cluster!r:.40}")
+                if version != FORMAT_VERSION or cluster != self.cluster:
+                    raise InvalidFrame(f"frame format {version}, cluster {cluster!r:.40}")
                 if self.resolve(name) is None or not call.startswith("m.") or call not in DECODERS:
-                    raise Bad(f"{name!r:.40} sent {call!r:.20}")
+                    raise InvalidFrame(f"{name!r:.40} sent {call!r:.20}")
                 await self.on_message(name, call, DECODERS[call].decode(raw))
-            except Bad as error:
+            except InvalidFrame as error:
                 self.drop(str(error), f"{sender[0]}:{sender[1]}")
             except msgspec.MsgspecError:
                 self.drop("datagram can't be decoded", f"{sender[0]}:{sender[1]}")
 
 
-async def ask(
+async def request(
     address: Address,
     cluster: str,
     secret: str,
@@ -370,19 +374,19 @@
     args: list[Any],
     timeout_s: float = STREAM_TIMEOUT_S,
 ) -> tuple[bool, str]:
-    """Send an operator's request to the node at `address`; OSError or Bad if there is no answer."""
+    """Send an operator's request to the node at `address`; OSError or InvalidFrame if there is no answer."""
     codec = Codec(cluster, secret)
     with anyio.fail_after(timeout_s):
         async with await anyio.connect_tcp(*address) as stream:
             buffer = bytearray()
             await stream.send(
-                codec.frame((FORM, cluster, "client:", 0, request_id))
+                codec.frame((FORMAT_VERSION, cluster, "client:", 0, request_id))
                 + codec.frame(("w.ask", (request_id, verb, args)))
             )
             status, reason, _ = HELLO_REPLY_DECODER.decode(
-                codec.open(await read_frame(stream, buffer, MOST_HELLO))
+                codec.open(await read_frame(stream, buffer, MAX_HELLO_BYTES))
             )
             if status != "welcome":
-                raise Bad(f"refused: {reason}")
-            _, (_, ok, text) = call_of(codec.open(await read_frame(stream, buffer, MOST_FRAME)))
+                raise InvalidFrame(f"refused: {reason}")
+            _, (_, ok, text) = decode_message(codec.open(await read_frame(stream, buffer, MAX_FRAME_BYTES)))
             return ok, text
--- a/merlintally/cluster/members/__init__.py
+++ b/merlintally/cluster/members/__init__.py
@@ -1,5 +1,5 @@
 """Cluster membership (SWIM with the Lifeguard extensions), without input or output: see docs/members.md."""
 
-from merlintally.cluster.members.core import FORMS, MISTAKES, Member, Members, Rhythm
+from merlintally.cluster.members.core import INJECTED_FAULTS, MESSAGE_TYPES, Member, Members, SwimSettings
 
-__all__ = ["FORMS", "MISTAKES", "Member", "Members", "Rhythm"]
+__all__ = ["MESSAGE_TYPES", "INJECTED_FAULTS", "Member", "Members", "SwimSettings"]
--- a/merlintally/cluster/members/core.py
+++ b/merlintally/cluster/members/core.py
@@ -3,8 +3,8 @@
 Each node probes one other node per period, first directly and then through others. A node that does not
 answer becomes suspect, and dead unless it refutes the suspicion before the suspicion timeout. Updates are
 piggybacked on the probes. A node that responds slowly itself (it misses acks, or is suspected) raises its
-`local_health` score, which lengthens its probe period and timeouts. Messages are handled by `hear`; their
-types are in `FORMS`. Outputs are collected with `take_results`.
+`local_health` score, which lengthens its probe period and timeouts. Messages are handled by `receive`; their
+types are in `MESSAGE_TYPES`. Outputs are collected with `take_results`.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 DEAD = 2
 LEFT = 3
 STATES = ("alive", "suspect", "dead", "left")
-START = 1 << 20  # incarnations reserved for each start of a node
+INCARNATIONS_PER_START = 1 << 20  # incarnations reserved for each start of a node
 Update = tuple[str, int, int, str, str]  # name, state, incarnation, address, node that suspects it or ""
 
-FORMS: dict[str, Any] = {  # message name -> types of its arguments
+MESSAGE_TYPES: dict[str, Any] = {  # message name -> types of its arguments
     "ping": tuple[int, str, list[Update]],  # sequence number, target, updates
     "ask": tuple[int, str, list[Update]],  # indirect probe: sequence number, target, updates
     "ack": tuple[int, list[Update]],  # sequence number, updates
@@ -33,7 +33,7 @@
     "state": tuple[bool, list[Update]],  # full state exchange: whether a reply is wanted, all members
 }
 
-MISTAKES = (  # faults that tests inject by name
+INJECTED_FAULTS = (  # faults that tests inject by name
     "old news taken",
     "dead returns by the same incarnation",
     "suspicion is not refuted",
@@ -45,7 +45,7 @@
 )
 
 
-class Rhythm(NamedTuple):
+class SwimSettings(NamedTuple):
     """Timing in seconds, fan-out and message sizes.
 
     The suspicion timeout is `alpha * log10(members)` periods, and up to `beta` times that while no other node
@@ -53,20 +53,20 @@
     """
 
     period_s: float = 1.0  # probe interval
-    answer_s: float = 0.3  # timeout of a direct probe
-    asked: int = 3  # nodes asked for an indirect probe
+    probe_timeout_s: float = 0.3  # timeout of a direct probe
+    indirect_probes: int = 3  # nodes asked for an indirect probe
     alpha: float = 4.0
     beta: float = 6.0
     confirmations: int = 3  # confirmations that reduce the suspicion timeout to its minimum
-    told: float = 3.0  # each update is sent this many times log10(members + 1)
-    gossip_s: float = 0.25  # interval of gossip messages while updates are queued
-    fan: int = 2  # receivers of each gossip round
-    room: int = 1100  # bytes of updates in one datagram
-    exchange_s: float = 15.0  # interval of full state exchanges
-    again_s: float = 5.0  # interval of probes of dead members
-    worst: int = 8  # maximum of the local health score
-    flap_half_s: float = 60.0  # half-life of a member's flap score
-    flap_most: float = 2.5  # flap score above which a member is not stable
+    retransmit_factor: float = 3.0  # each update is sent this many times log10(members + 1)
+    gossip_interval_s: float = 0.25  # interval of gossip messages while updates are queued
+    gossip_fanout: int = 2  # receivers of each gossip round
+    max_update_bytes: int = 1100  # bytes of updates in one datagram
+    state_exchange_s: float = 15.0  # interval of full state exchanges
+    dead_probe_s: float = 5.0  # interval of probes of dead members
+    max_local_health: int = 8  # maximum of the local health score
+    flap_half_life_s: float = 60.0  # half-life of a member's flap score
+    max_flap_score: float = 2.5  # flap score above which a member is not stable
     forget_s: float = 3600.0  # time after which dead and left members are removed
 
 
@@ -106,13 +106,21 @@
         address: str,
         seeds: dict[str, str],
         start: int,
-        settings: Rhythm,
+        settings: SwimSettings,
         random: Random,
         now: float,
-        mistakes: frozenset[str] = frozenset(),
+        injected_faults: frozenset[str] = frozenset(),
     ) -> None:
-        self.name, self.rhythm, self.random, self.mistakes, self.now = name, settings, random, mistakes, now
-        self.incarnation = 0 if "a start forgets its incarnation" in mistakes else start * START
+        self.name, self.settings, self.random, self.injected_faults, self.now = (
+            name,
+            settings,
+            random,
+            injected_faults,
+            now,
+        )
+        self.incarnation = (
+            0 if "a start forgets its incarnation" in injected_faults else start * INCARNATIONS_PER_START
+        )
         self.known = {name: Member(name, address, ALIVE, self.incarnation, now)}
         for other, other_address in seeds.items():
             if other != name:
@@ -131,7 +139,7 @@
         self.ack_deadline = 0.0
         self.exchange_at = now + random.random()
         self.gossip_at = now
-        self.dead_probe_at = now + settings.again_s
+        self.dead_probe_at = now + settings.dead_probe_s
         self.suspects: set[str] = set()  # suspect members; kept so that each message need not scan all
         self.results = Results()
         self._queue_update(name)
@@ -152,15 +160,15 @@
         return (
             member is not None
             and member.state == ALIVE
-            and self._current_flap_score(member, now) <= self.rhythm.flap_most
+            and self._current_flap_score(member, now) <= self.settings.max_flap_score
         )
 
     def leave(self, now: float) -> None:
         """Announce that this node leaves, so that it is not detected as failed."""
         self.now, self.leaving = now, True
         own = self.known[self.name]
-        own.state = DEAD if "left counts as dead" in self.mistakes else LEFT
-        for name in self._random_peers(self.rhythm.asked + 1, ()):
+        own.state = DEAD if "left counts as dead" in self.injected_faults else LEFT
+        for name in self._random_peers(self.settings.indirect_probes + 1, ()):
             self._queue_update(self.name)  # resets the transmission count, so that every ping carries it
             self._send(name, "ping", 0, name)
 
@@ -183,45 +191,45 @@
             if (
                 member.state == SUSPECT
                 and now >= member.suspect_until
-                and "suspicion never ends" not in self.mistakes
+                and "suspicion never ends" not in self.injected_faults
             ):
                 self._apply_update((member.name, DEAD, member.incarnation, member.address, ""))
-            elif member.state >= DEAD and now - member.since > self.rhythm.forget_s:
+            elif member.state >= DEAD and now - member.since > self.settings.forget_s:
                 del self.known[member.name]
                 self.suspects.discard(member.name)
                 self.update_counts.pop(member.name, None)
         for number, (requester, request_number, deadline, nack_sent) in list(self.relays.items()):
-            if now >= deadline + self.rhythm.period_s:
+            if now >= deadline + self.settings.period_s:
                 del self.relays[number]
             elif now >= deadline and not nack_sent:
                 self.relays[number] = (requester, request_number, deadline, True)
                 self._send(requester, "nack", request_number)
         if self.leaving:
-            self.next_period_at = self.exchange_at = self.dead_probe_at = now + self.rhythm.period_s
+            self.next_period_at = self.exchange_at = self.dead_probe_at = now + self.settings.period_s
             return
         if self.ack_deadline and now >= self.ack_deadline:
             self.ack_deadline = 0.0
-            if not self.acked and "no indirect probe" not in self.mistakes:
+            if not self.acked and "no indirect probe" not in self.injected_faults:
                 self._send_indirect_probes()
         if now >= self.next_period_at:
             self._end_period()
             self._start_probe()
         if now >= self.exchange_at:
-            self.exchange_at = now + self.rhythm.exchange_s * (0.5 + self.random.random())
+            self.exchange_at = now + self.settings.state_exchange_s * (0.5 + self.random.random())
             for name in self._random_peers(1, ()):
                 self.results.streams.append((name, "state", (True, self._full_state())))
         if self.update_counts and now >= self.gossip_at:
-            self.gossip_at = now + self.rhythm.gossip_s
-            for name in self._random_peers(self.rhythm.fan, ()):
+            self.gossip_at = now + self.settings.gossip_interval_s
+            for name in self._random_peers(self.settings.gossip_fanout, ()):
                 self._send(name, "gossip")
         if now >= self.dead_probe_at:
-            self.dead_probe_at = now + self.rhythm.again_s * (0.5 + self.random.random())
+            self.dead_probe_at = now + self.settings.dead_probe_s * (0.5 + self.random.random())
             dead = [name for name, member in self.known.items() if member.state == DEAD]
             if dead:  # without this, both sides of a healed partition could consider each other dead for ever
                 name = self.random.choice(dead)
                 self._send(name, "ping", 0, name)
 
-    def hear(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
+    def receive(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
         """Handle a message; its updates are applied first."""
         self.now = now
         if call != "state":
@@ -235,14 +243,15 @@
         probed = self.known.get(self.probe_target)
         if not self.acked and probed is not None and probed.state <= SUSPECT:
             self.local_health = min(
-                self.rhythm.worst, self.local_health + 1 + max(0, self.indirect_requests - self.nacks - 1)
+                self.settings.max_local_health,
+                self.local_health + 1 + max(0, self.indirect_requests - self.nacks - 1),
             )
             self._apply_update((probed.name, SUSPECT, probed.incarnation, probed.address, self.name))
         elif self.probe_target:
             self.local_health = max(0, self.local_health - 1)
 
     def _start_probe(self) -> None:
-        self.next_period_at = self.now + self.rhythm.period_s * (1 + self.local_health)
+        self.next_period_at = self.now + self.settings.period_s * (1 + self.local_health)
         self.probe_target, self.acked, self.nacks, self.indirect_requests = "", True, 0, 0
         while self.probe_order or any(True for _ in self._active_peers()):
             if not self.probe_order:
@@ -253,12 +262,12 @@
             if member is not None and member.state <= SUSPECT:
                 self.sequence += 1
                 self.probe_target, self.acked = name, False
-                self.ack_deadline = self.now + self.rhythm.answer_s * (1 + self.local_health)
+                self.ack_deadline = self.now + self.settings.probe_timeout_s * (1 + self.local_health)
                 self._send(name, "ping", self.sequence, name)
                 return
 
     def _send_indirect_probes(self) -> None:
-        for name in self._random_peers(self.rhythm.asked, (self.probe_target,)):
+        for name in self._random_peers(self.settings.indirect_probes, (self.probe_target,)):
             self.indirect_requests += 1
             self._send(name, "ask", self.sequence, self.probe_target)
 
@@ -276,7 +285,12 @@
     def _ask(self, sender: str, number: int, target: str, _: list[Update]) -> None:
         if target in self.known and len(self.relays) < 256:
             self.sequence += 1
-            self.relays[self.sequence] = (sender, number, self.now + self.rhythm.answer_s * 0.8, False)
+            self.relays[self.sequence] = (
+                sender,
+                number,
+                self.now + self.settings.probe_timeout_s * 0.8,
+                False,
+            )
             self._send(target, "ping", self.sequence, target)
 
     def _ack(self, sender: str, number: int, _: list[Update]) -> None:
@@ -288,7 +302,7 @@
             self.acked = True  # by an indirect probe
 
     def _gossip(self, sender: str, _: list[Update]) -> None:
-        """Carries only updates, which `hear` has applied."""
+        """Carries only updates, which `receive` has applied."""
 
     def _nack(self, sender: str, number: int, _: list[Update]) -> None:
         if number == self.sequence:
@@ -310,12 +324,12 @@
         """
         name, state, incarnation, address, suspecting_node = update
         if name == self.name:
-            if state == ALIVE or self.leaving or "suspicion is not refuted" in self.mistakes:
+            if state == ALIVE or self.leaving or "suspicion is not refuted" in self.injected_faults:
                 return
             if incarnation >= self.incarnation:
                 self.incarnation = incarnation + 1
                 self.known[name].incarnation = self.incarnation
-                self.local_health = min(self.rhythm.worst, self.local_health + 1)
+                self.local_health = min(self.settings.max_local_health, self.local_health + 1)
             # Refute also suspicions of an earlier start: the updates of this start may all have been lost in
             # a partition, and the others would consider this node dead for ever.
             self._queue_update(name)
@@ -334,10 +348,10 @@
             self._confirm_suspicion(member, suspecting_node)
             return
         is_newer = incarnation > member.incarnation
-        if "dead returns by the same incarnation" in self.mistakes and member.state == DEAD:
+        if "dead returns by the same incarnation" in self.injected_faults and member.state == DEAD:
             is_newer = incarnation >= member.incarnation
         if (
-            "old news taken" not in self.mistakes
+            "old news taken" not in self.injected_faults
             and not is_newer
             and not (incarnation == member.incarnation and state > member.state)
         ):
@@ -369,7 +383,7 @@
         if (
             suspecting_node
             and suspecting_node not in member.suspected_by
-            and len(member.suspected_by) <= self.rhythm.confirmations
+            and len(member.suspected_by) <= self.settings.confirmations
         ):
             member.suspected_by.append(suspecting_node)
             member.suspect_until = member.suspected_at + self._suspicion_timeout_s(
@@ -379,14 +393,16 @@
 
     def _suspicion_timeout_s(self, confirmations_count: int) -> float:
         """The suspicion timeout, which decreases with the number of confirmations by other nodes."""
-        settings = self.rhythm
+        settings = self.settings
         min_s = settings.alpha * max(1.0, log10(len(self.known))) * settings.period_s
         max_s = settings.beta * min_s
         progress = min(1.0, log(confirmations_count + 1) / log(settings.confirmations + 1))
         return max(min_s, max_s - (max_s - min_s) * progress) if len(self.known) > 3 else min_s
 
     def _current_flap_score(self, member: Member, now: float) -> float:
-        return member.flap_score * float(0.5 ** ((now - member.flap_score_at) / self.rhythm.flap_half_s))
+        return member.flap_score * float(
+            0.5 ** ((now - member.flap_score_at) / self.settings.flap_half_life_s)
+        )
 
     def _queue_update(self, name: str) -> None:
         self.update_counts[name] = 0
@@ -406,12 +422,12 @@
         (Lifeguard's buddy system).
         """
         updates: list[Update] = []
-        room_bytes = self.rhythm.room
+        room_bytes = self.settings.max_update_bytes
         if (member := self.known.get(to)) is not None and member.state in (SUSPECT, DEAD):
             updates.append(self._update_of(to))
             room_bytes -= 64
-        max_transmissions = ceil(self.rhythm.told * log10(len(self.known) + 1))
-        if "news is never told on" not in self.mistakes:
+        max_transmissions = ceil(self.settings.retransmit_factor * log10(len(self.known) + 1))
+        if "news is never told on" not in self.injected_faults:
             for name in sorted(self.update_counts, key=self.update_counts.__getitem__):
                 row = self._update_of(name)
                 room_bytes -= len(name) + len(row[3]) + len(row[4]) + 16
--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -19,13 +19,19 @@
 
 import anyio
 
-from merlintally.cluster import FELLOWS
-from merlintally.cluster.agreement import Pace
+from merlintally.cluster import ALL_PEERS
+from merlintally.cluster.agreement import RaftSettings
 from merlintally.cluster.copies import Terms as CopyTerms
-from merlintally.cluster.core import STREAMED, Cluster, Local, Me, Plan
-from merlintally.cluster.disk import Disk, Full
+from merlintally.cluster.core import (
+    STREAMED_PREFIXES,
+    Cluster,
+    ClusterSettings,
+    LocalObservations,
+    NodeIdentity,
+)
+from merlintally.cluster.disk import Disk, WriteFailed
 from merlintally.cluster.links import Links
-from merlintally.cluster.members import Rhythm
+from merlintally.cluster.members import SwimSettings
 from merlintally.cluster.record import Record
 from merlintally.cluster.work.coordinator import Terms
 from merlintally.cluster.work.state import GRANTED, OUT, RETURNING, most
@@ -52,13 +58,13 @@
 MAX_FORWARDED_UNITS = 500.0  # backlog of one customer, in units
 
 
-def plan_of(part: ClusterPart) -> Plan:
+def cluster_settings_of(part: ClusterPart) -> ClusterSettings:
     """The shared settings of the cluster, from the section [cluster] of the operators' file."""
-    return Plan(
+    return ClusterSettings(
         part.voters,
         dict(part.seeds),
-        Pace(heartbeat_s=part.heartbeat_s, election_s=part.election_s),
-        Rhythm(period_s=part.period_s, answer_s=0.3 * part.period_s),
+        RaftSettings(heartbeat_s=part.heartbeat_s, election_s=part.election_s),
+        SwimSettings(period_s=part.period_s, probe_timeout_s=0.3 * part.period_s),
         Terms(part.lease_s, part.renew_s, part.drift_share, part.warm_s, part.longest_s),
         CopyTerms(part.copies, part.copy_bytes_s, cold_after_s=part.copy_cold_s, forget_s=part.copy_forget_s)
         if part.copies
@@ -91,7 +97,7 @@
     ) -> None:
         self.part, self.name, self.disk, self.log, self.record = part, name, disk, log, record
         self.rng = Random(seed ^ disk.start)
-        self.plan = plan_of(part)
+        self.settings = cluster_settings_of(part)
         self.routes = {
             name: address(endpoint, f"cluster.routes.{name}") for name, endpoint in part.routes.items()
         }
@@ -118,10 +124,12 @@
         self._create_core(time.monotonic())
 
     def _create_core(self, now: float) -> None:
-        identity = Me(self.name, self.part.listen, self.disk.start)
-        rows = self.disk.kept_rows() if self.plan.copies is not None else []
+        identity = NodeIdentity(self.name, self.part.listen, self.disk.start)
+        rows = self.disk.load_copies() if self.settings.copies is not None else []
         core_rng = Random(self.rng.random())
-        self.core = Cluster(identity, self.plan, self.disk.kept, core_rng, now, self.disk.blank, rows=rows)
+        self.core = Cluster(
+            identity, self.settings, self.disk.state, core_rng, now, self.disk.lost_state, rows=rows
+        )
         self.last_row = 0
 
     # Permissions, checked for each submission and each send.
@@ -140,7 +148,7 @@
     async def run(self, node: EdgeNode, dispatcher: Dispatcher) -> None:
         """Run next to an edge node until cancelled."""
         self.dispatcher, dispatcher.right = dispatcher, self
-        if self.plan.copies is not None and dispatcher.peers is None:
+        if self.settings.copies is not None and dispatcher.peers is None:
             dispatcher.peers = self
         dispatcher.shown = {entry.facts.server: entry for entry in node.deployment.known}
         listen = address(self.part.listen, "cluster.listen")
@@ -155,28 +163,28 @@
             self._on_message,
             self._resolve,
             self._on_newer_start,
-            self.ask,
+            self.request,
         )
-        if self.disk.torn:
+        if self.disk.torn_bytes:
             self.log.say(
-                f"cluster: truncated {self.disk.torn} bytes of an incomplete last record",
+                f"cluster: truncated {self.disk.torn_bytes} bytes of an incomplete last record",
                 "cluster.torn",
-                bytes=self.disk.torn,
+                bytes=self.disk.torn_bytes,
             )
-        if self.disk.blank:
+        if self.disk.lost_state:
             self.log.say(
                 "cluster: the folder has no log; this node votes once it has been added to the voters",
                 "cluster.blank",
             )
         if self.record is not None:
-            self.record.add("start", blank=self.disk.blank)
+            self.record.add("start", blank=self.disk.lost_state)
         async with anyio.create_task_group() as group:
             group.start_soon(self.links.run, group)
             group.start_soon(self._write_rows)
             group.start_soon(self._run_timer)
             group.start_soon(self._leave_on_shutdown, node)
             group.start_soon(self._update_decisions)
-            if self.plan.copies is not None:
+            if self.settings.copies is not None:
                 group.start_soon(self._store_copies)
             await self.queue.post(lambda: None)
             await self.queue.run(self._run_call, self._process_results)
@@ -192,7 +200,7 @@
         await self.queue.post(self._handle_message, sender, call, args)
 
     def _handle_message(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
-        self.core.hear(time.monotonic(), sender, call, args)
+        self.core.receive(time.monotonic(), sender, call, args)
 
     async def _run_timer(self) -> None:
         while True:
@@ -218,13 +226,13 @@
                 server for server in servers if server not in shown or shown[server].facts.presence != "on"
             )
         )
-        self._drawn(now)
-        self.core.local = Local(busy, not self.dispatcher.open_requests, unlisted, self.rates)
+        self._collect_draws(now)
+        self.core.local = LocalObservations(busy, not self.dispatcher.open_requests, unlisted, self.rates)
         self.core.wake(now)
         restricted = now >= self.core.edge.until + self.part.lease_s
         if restricted != self.restricted:
             self.restricted = restricted
-            self._tell("careful", {"thing": "work"}) if restricted else self._record_applied_work()
+            self._publish_event("careful", {"thing": "work"}) if restricted else self._record_applied_work()
 
     async def _leave_on_shutdown(self, node: EdgeNode) -> None:
         await node.phases.reached(Phase.LEAVING)
@@ -236,9 +244,9 @@
             self.decisions_outdated = anyio.Event()
             await self.dispatcher.post(self.dispatcher.take_out, self.core.edge.out())
             while self.draws_complete and (note := told(self.sums.values())):
-                await self.dispatcher.post(self.dispatcher.noted, FELLOWS, note)
+                await self.dispatcher.post(self.dispatcher.noted, ALL_PEERS, note)
             if self.draws_complete:
-                await self.dispatcher.post(self.dispatcher.noted, FELLOWS, b"")
+                await self.dispatcher.post(self.dispatcher.noted, ALL_PEERS, b"")
 
     # Draws of this node go to the copies; draws of others go to the decisions as notes.
 
@@ -246,19 +254,19 @@
         """Accept a note of the decisions with draws of this node, in place of sending it to all others."""
         self.queued_notes.append(payload)
 
-    def _drawn(self, now: float) -> None:
+    def _collect_draws(self, now: float) -> None:
         copies = self.core.copies
         if copies is None:
             return
         while self.queued_notes:
             for mark, units in unpack(self.queued_notes.popleft()):
                 copies.draw(now, f"{mark:08x}", units)
-        self.draws_complete = self.core.hears_all(now)
+        self.draws_complete = self.core.sees_all_draws(now)
         if self.draws_complete and now - self.draws_refreshed_at > DRAWS_REFRESH_S:
             self.draws_refreshed_at = now
             self.decisions_outdated.set()
 
-    def _summed(self, sums: list[tuple[str, float]]) -> None:
+    def _add_sums(self, sums: list[tuple[str, float]]) -> None:
         """Add the increase of each customer's sum to its backlog.
 
         The first sum is the base and is not added: it may contain old draws that have been refilled since.
@@ -285,7 +293,7 @@
             copies = self.core.copies
             if copies is not None and self.disk_writable:
                 with suppress(OSError):
-                    await anyio.to_thread.run_sync(self.disk.keep, copies.store_rows())
+                    await anyio.to_thread.run_sync(self.disk.store_copies, copies.store_rows())
 
     async def _write_rows(self) -> None:
         """Write rows in batches in a thread; messages that depend on them wait until they are synced."""
@@ -299,7 +307,7 @@
                 try:
                     await anyio.to_thread.run_sync(self._write_locked, core, rows)
                     break
-                except Full as failure:
+                except WriteFailed as failure:
                     if self.disk_writable:
                         self.disk_writable = False
                         self.log.say(
@@ -333,20 +341,22 @@
             self.last_row = results.number
             self.rows_available.set()
         for to, call, args in results.sends:
-            (self.links.send if call.startswith(STREAMED) else self.links.tell)(to, call, args)
+            (self.links.send if call.startswith(STREAMED_PREFIXES) else self.links.send_datagram)(
+                to, call, args
+            )
         for request_id, ok, text in results.answers:
             if (pending := self.pending_requests.pop(request_id, None)) is not None:
                 pending[1].append((ok, text))
                 pending[0].set()
         for event, fields in results.events:
-            self._tell(event, fields)
+            self._publish_event(event, fields)
         if results.work_changed:
             self._publish_work()
         if results.sums:
-            self._summed(results.sums)
-        if self.disk.blank and not self.core.raft.blank:
+            self._add_sums(results.sums)
+        if self.disk.lost_state and not self.core.raft.lost_state:
             with suppress(OSError):  # retried with the next outputs
-                self.disk.admitted()
+                self.disk.mark_admitted()
         if results.wake_at < self.wake_at or self.wake_at <= time.monotonic():
             self.wake_at = results.wake_at
             self.sleep_scope.cancel()
@@ -357,7 +367,7 @@
         if self.record is not None:
             self.record.add("acts", thing="work", version=work.index, digest=zlib.crc32(work.encode()))
 
-    def _tell(self, event: str, fields: dict[str, Any]) -> None:
+    def _publish_event(self, event: str, fields: dict[str, Any]) -> None:
         """Write an event to the record and to the log."""
         if event == "committed":
             if self.record is not None:
@@ -380,7 +390,7 @@
                 request = work.requests.get(turn.request)
                 limits = request.budget if request is not None else None
                 rows = work.machines.values()
-                self._tell(
+                self._publish_event(
                     "out",
                     {
                         "machine": turn.machine,
@@ -399,7 +409,7 @@
                 )
             elif turn.state == RETURNING and turn.number not in self.done_turns:
                 self.done_turns.add(turn.number)
-                self._tell("done", {"machine": turn.machine, "number": turn.number})
+                self._publish_event("done", {"machine": turn.machine, "number": turn.number})
             elif turn.state == GRANTED and self.name in machine.edges:
                 self.log.say(
                     f"cluster: turn {turn.number} of {turn.machine} is granted: new submissions are refused",
@@ -411,7 +421,7 @@
             if name not in work.turns or work.turns[name].number != number:
                 del self.machines_out[name]
                 self.done_turns.discard(number)
-                self._tell("back", {"machine": name, "number": number})
+                self._publish_event("back", {"machine": name, "number": number})
         self.decisions_outdated.set()
 
     # Callbacks of the links, and requests.
@@ -420,7 +430,7 @@
         if name in self.routes:
             return self.routes[name]
         member = self.core.members.known.get(name)
-        endpoint = member.address if member is not None else self.plan.seeds.get(name, "")
+        endpoint = member.address if member is not None else self.settings.seeds.get(name, "")
         host, _, port = endpoint.rpartition(":")
         return (host, int(port)) if host and port.isdecimal() else None
 
@@ -440,7 +450,7 @@
         )
         with self.disk_lock:
             try:
-                self.disk.set_aside()
+                self.disk.reset_log()
                 self.disk.write_start(start + 1)
             except OSError as error:  # retried when a node refuses the next stream
                 self.log.say(f"cluster: the log can't be moved aside: {error.strerror}", "cluster.full")
@@ -453,11 +463,11 @@
             self.record.start = self.disk.start
             self.record.add("start", blank=True)
 
-    async def ask(self, request_id: str, verb: str, args: list[Any]) -> tuple[bool, str]:
+    async def request(self, request_id: str, verb: str, args: list[Any]) -> tuple[bool, str]:
         """Handle a request of an operator; returns whether it succeeded, and the answer or the reason."""
         answered, answers = anyio.Event(), list[tuple[bool, str]]()
         self.pending_requests[request_id] = (answered, answers)
-        await self.queue.post(lambda: self.core.ask(time.monotonic(), request_id, verb, args))
+        await self.queue.post(lambda: self.core.request(time.monotonic(), request_id, verb, args))
         with anyio.move_on_after(REQUEST_TIMEOUT_S):
             await answered.wait()
         self.pending_requests.pop(request_id, None)
@@ -465,7 +475,7 @@
 
 
 def open_disk(part: ClusterPart) -> Disk:
-    """Open the node's folder; OSError or Spoilt if it can't be used.
+    """Open the node's folder; OSError or CorruptFolder if it can't be used.
 
     Failed writes and a full disk are retried for some seconds, as they may be temporary.
     """
--- a/merlintally/cluster/record.py
+++ b/merlintally/cluster/record.py
@@ -36,7 +36,7 @@
             os.write(self.file, self.encode(row) + b"\n")
 
 
-def starts_in(path: str | Path) -> int:
+def count_starts(path: str | Path) -> int:
     """The number of starts of a node in its record; 0 if there is no record yet."""
     try:
         return Path(path).read_bytes().count(b'"event":"start"')
--- a/merlintally/cluster/work/__init__.py
+++ b/merlintally/cluster/work/__init__.py
@@ -2,10 +2,10 @@
 
 from merlintally.cluster.work.coordinator import Coordinator, Report, Terms
 from merlintally.cluster.work.order import Choice, Seen, next_turn
-from merlintally.cluster.work.state import MISTAKES, Budget, Machine, Request, Turn, Work, machines_of
+from merlintally.cluster.work.state import INJECTED_FAULTS, Budget, Machine, Request, Turn, Work, machines_of
 
 __all__ = [
-    "MISTAKES",
+    "INJECTED_FAULTS",
     "Budget",
     "Choice",
     "Coordinator",
--- a/merlintally/cluster/work/parts.py
+++ b/merlintally/cluster/work/parts.py
@@ -16,7 +16,7 @@
 ASKED, LENT, RECALLED = "asked", "lent", "recalled"
 MOST_LOANS = 2000  # at once, of all customers
 
-MISTAKES = (  # planted by name, in tests only
+INJECTED_FAULTS = (  # planted by name, in tests only
     "lent before the lender has heard",
     "drawn after the lease",
     "given back before the borrower has ended",
--- a/merlintally/cluster/work/state.py
+++ b/merlintally/cluster/work/state.py
@@ -18,7 +18,7 @@
 REMEMBERED, HISTORY = 1024, 200  # ids of entries, lines of history
 LIMIT = re.compile(r"([1-9][0-9]{0,5})(%?)")
 
-MISTAKES = (  # planted by name, in tests only
+INJECTED_FAULTS = (  # planted by name, in tests only
     "old grant accepted",
     "budget looked at by the leader alone",
     "returning does not count",
--- a/merlintally/lab/faults/play.py
+++ b/merlintally/lab/faults/play.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from merlintally.cluster.disk import record_of
+from merlintally.cluster.disk import encode_record
 from merlintally.forms import Faults
 from merlintally.lab.faults.check import check, rows_of
 from merlintally.lab.faults.links import KINDS, Net, state_of
@@ -260,7 +260,7 @@
 
     async def _digests(self, node: FaultNode) -> dict[str, str] | None:
         """Of one that has caught up; None of one that has not."""
-        from merlintally.cluster.links import ask as ask_one
+        from merlintally.cluster.links import request as ask_one
 
         found: dict[str, Any] = {}
         try:
@@ -387,7 +387,7 @@
             shutil.rmtree(node.state, ignore_errors=True)
         elif kind == "torn" and log.exists():  # a record that was being written, and promised to nobody
             with log.open("ab") as file:
-                file.write(record_of(("vote", 10**6, "nobody"))[:-3])
+                file.write(encode_record(("vote", 10**6, "nobody"))[:-3])
         elif kind == "spoilt":
             data = bytearray(log.read_bytes())
             data[30] ^= 0xFF
@@ -429,14 +429,14 @@
 
     async def ask(self, verb: str, args: list[Any], id_: str = "", patience: float = 40.0) -> str | None:
         """Ask nodes of chance until one has done it; None where nobody did in time or it was refused."""
-        from merlintally.cluster.links import Bad
-        from merlintally.cluster.links import ask as ask_one
+        from merlintally.cluster.links import InvalidFrame
+        from merlintally.cluster.links import request as ask_one
 
         id_, ends = id_ or secrets.token_hex(8), time.monotonic() + patience
         while time.monotonic() < ends:
             node = self.net.random.choice(self.fault_nodes)
             if node.alive and not node.stopped:
-                with contextlib.suppress(OSError, TimeoutError, Bad, EOFError, Exception):
+                with contextlib.suppress(OSError, TimeoutError, InvalidFrame, EOFError, Exception):
                     ok, text = await ask_one((HOST, node.cluster_port), "lab", SECRET, id_, verb, args, 3.0)
                     if ok:
                         return text
@@ -449,7 +449,7 @@
         """Who leads, by the word of the highest term among those that can be asked."""
         if self.scenario.cluster is None:
             return ""
-        from merlintally.cluster.links import ask as ask_one
+        from merlintally.cluster.links import request as ask_one
 
         best = (0, "")
 
--- a/merlintally/lab/faults/writes.py
+++ b/merlintally/lab/faults/writes.py
@@ -20,7 +20,14 @@
 
 import anyio
 
-from merlintally.cluster.links import FORM, MOST_FRAME, MOST_HELLO, Codec, ask, read_frame
+from merlintally.cluster.links import (
+    FORMAT_VERSION,
+    MAX_FRAME_BYTES,
+    MAX_HELLO_BYTES,
+    Codec,
+    read_frame,
+    request,
+)
 from merlintally.lab.live.emulator import HOST
 from merlintally.lab.live.play import Live
 from merlintally.lab.model.days import read_day
@@ -95,7 +102,7 @@
         while True:
             for port in nodes.ports:
                 try:
-                    _, text = await ask((HOST, port), "w", "", "look", "status", [], 1.0)
+                    _, text = await request((HOST, port), "w", "", "look", "status", [], 1.0)
                 except (OSError, TimeoutError, anyio.EndOfStream):
                     continue
                 if json.loads(text)["leads"]:
@@ -106,15 +113,15 @@
 async def client(port: int, number: int, ends: float, found: list[float]) -> None:
     codec, held, at = Codec("w", ""), bytearray(), 0
     async with await anyio.connect_tcp(HOST, port) as stream:
-        await stream.send(codec.frame((FORM, "w", "client:", 0, str(number))))
-        await read_frame(stream, held, MOST_HELLO)
+        await stream.send(codec.frame((FORMAT_VERSION, "w", "client:", 0, str(number))))
+        await read_frame(stream, held, MAX_HELLO_BYTES)
         while time.perf_counter() < ends:
             at += 1
             began = time.perf_counter()
             await stream.send(
                 codec.frame(("w.ask", (f"{number}:{at}:{began}", "pause", ["nothing", "bench"])))
             )
-            await read_frame(stream, held, MOST_FRAME)
+            await read_frame(stream, held, MAX_FRAME_BYTES)
             found.append(time.perf_counter() - began)
 
 
--- a/merlintally/lab/play/nodes.py
+++ b/merlintally/lab/play/nodes.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from merlintally.cluster import FELLOWS
+from merlintally.cluster import ALL_PEERS
 from merlintally.interface import Refusal
 from merlintally.lab.builds.base import Build
 from merlintally.lab.model.discovery import Entry
@@ -203,7 +203,7 @@
         self.event(self.life, self._copied, payload)
 
     def _copied(self, payload: bytes) -> None:
-        self.gateway.noted(self.world.agenda.now, FELLOWS, payload)
+        self.gateway.noted(self.world.agenda.now, ALL_PEERS, payload)
 
     def _noted(self, peer: int, payload: bytes) -> None:
         now, most = self.world.agenda.now, self.world.day.notes.heard_per_s
--- a/merlintally/lab/play/world.py
+++ b/merlintally/lab/play/world.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from merlintally.cluster import UNWELL
+from merlintally.cluster import MAX_UNHEALTHY_SHARE
 from merlintally.lab.judge.referee import Referee
 from merlintally.lab.model.agenda import Agenda, chance
 from merlintally.lab.model.counter import Counter
@@ -101,9 +101,9 @@
 
     def _copy(self, sender: Node, note: bytes) -> None:
         """What a node drew reaches the others as sums from holders: after a while, as of one fellow. Nodes
-        that can't hear all are told nothing, as `Cluster.hears_all` has it."""
+        that can't hear all are told nothing, as `Cluster.sees_all_draws` has it."""
         down = sum(not node.alive for node in self.nodes)
-        if self.cut_zones or down > UNWELL * len(self.nodes):
+        if self.cut_zones or down > MAX_UNHEALTHY_SHARE * len(self.nodes):
             return
         longest = self.day.notes.copied_s
         for node in self.nodes:
--- a/merlintally/lab/scale/control_schedule.py
+++ b/merlintally/lab/scale/control_schedule.py
@@ -15,10 +15,10 @@
 import msgspec
 
 from merlintally.cluster.copies import Terms as CopyTerms
-from merlintally.cluster.core import STREAMED, Plan
-from merlintally.cluster.links import DECODERS, FORM, Codec, call_of
-from merlintally.cluster.members.core import DEAD, START, Member
-from merlintally.cluster.node import plan_of
+from merlintally.cluster.core import STREAMED_PREFIXES, ClusterSettings
+from merlintally.cluster.links import DECODERS, FORMAT_VERSION, Codec, decode_message
+from merlintally.cluster.members.core import DEAD, INCARNATIONS_PER_START, Member
+from merlintally.cluster.node import cluster_settings_of
 from merlintally.lab.schedules.work import Node, Rig
 from merlintally.lab.schedules.world import Call, World
 from merlintally.operators import ClusterPart
@@ -40,9 +40,9 @@
 
 def sealed(sender: str, call: str, args: tuple[Any, ...]) -> bytes:
     """A message as it goes over a stream or as a datagram."""
-    if call.startswith(STREAMED):
+    if call.startswith(STREAMED_PREFIXES):
         return CODEC.frame((call, args))
-    return CODEC.frame((FORM, "hollow", sender, call, args))[4:]
+    return CODEC.frame((FORMAT_VERSION, "hollow", sender, call, args))[4:]
 
 
 class MeteredNode(Node):
@@ -80,11 +80,11 @@
         self.received += len(data)
         self.messages += 1
         if streamed:
-            call, args = call_of(CODEC.open(data[4:]))
+            call, args = decode_message(CODEC.open(data[4:]))
         else:
             *_, call, raw = DATAGRAM.decode(CODEC.open(data))
             args = DECODERS[call].decode(raw)
-        self.core.hear(self.clock.now(), sender, call, args)
+        self.core.receive(self.clock.now(), sender, call, args)
         self.settle()
 
 
@@ -96,7 +96,7 @@
 
     def send(self, sender: str, to: str, deliver: Call, *args: Any) -> None:
         *_, call, arguments = args
-        data, streamed = sealed(sender, call, arguments), call.startswith(STREAMED)
+        data, streamed = sealed(sender, call, arguments), call.startswith(STREAMED_PREFIXES)
         if streamed and (self.rig.metered[to].core is None or (sender, to) in self.cut):
             return
         node = self.rig.metered[sender]
@@ -115,12 +115,12 @@
         world.rig, self.zones = self, zones
         names = [name_of(at) for at in range(size)]
         part = ClusterPart(copies=copies)
-        base = plan_of(part)
-        self.plan = Plan(
+        base = cluster_settings_of(part)
+        self.plan = ClusterSettings(
             tuple(names[:VOTERS]),
             {name: address_of(at) for at, name in enumerate(names)},
-            base.pace,
-            base.rhythm,
+            base.raft_settings,
+            base.swim_settings,
             base.terms,
             CopyTerms(copies) if copies else None,
         )
@@ -240,7 +240,9 @@
         for number in range(size, size + dead):
             name, address = name_of(number), address_of(number)
             assert node.core is not None
-            node.core.members.known[name] = Member(name, address, DEAD, START, node.clock.now())
+            node.core.members.known[name] = Member(
+                name, address, DEAD, INCARNATIONS_PER_START, node.clock.now()
+            )
     return worst_minute(rig, lambda: rig.world.now > SETTLE_S, REST_S)
 
 
@@ -275,7 +277,7 @@
     forgotten, where it is not as by default (an hour)."""
     rig = ControlRig(seed, size)
     if forget_s is not None:
-        rig.plan = rig.plan._replace(rhythm=rig.plan.rhythm._replace(forget_s=forget_s))
+        rig.plan = rig.plan._replace(swim_settings=rig.plan.swim_settings._replace(forget_s=forget_s))
     rig.start_all()
     regions: list[list[str]] = [[], []]
     for node in rig.metered.values():
--- a/merlintally/lab/scale/hollow.py
+++ b/merlintally/lab/scale/hollow.py
@@ -5,7 +5,7 @@
 
 Hollow:
 
-- no clients and no app servers: nothing is taken or sent, so `Local` always tells of an idle node with no
+- no clients and no app servers: nothing is taken or sent, so `LocalObservations` shows an idle node with no
   execution out, and no rates;
 - no owner of the decisions (`net.dispatcher.Dispatcher`, `choice.Gateway`): what the cluster part posts to
   it (who is taken out, what others drew) is counted and dropped, and it tells no notes, so copies hold no
@@ -146,7 +146,7 @@
     def exchange(self, seconds: float) -> None:
         """From now on, have so long between full exchanges of members."""
         members = self.core.members
-        members.rhythm = members.rhythm._replace(exchange_s=seconds)
+        members.settings = members.settings._replace(state_exchange_s=seconds)
         members.exchange_at = time.monotonic() + seconds * members.random.random()
 
     async def serve(self) -> None:
@@ -157,10 +157,10 @@
         finally:
             self.disk.close()
 
-    def _tell(self, event: str, fields: dict[str, Any]) -> None:
+    def _publish_event(self, event: str, fields: dict[str, Any]) -> None:
         if event == "committed":
             self.applied[fields["index"]] = time.monotonic()
-        super()._tell(event, fields)
+        super()._publish_event(event, fields)
 
     @property
     def control_sent(self) -> Sent:
@@ -175,7 +175,7 @@
             core.edge.caught_up,
             core.work.index,
             sum(one.state == ALIVE for one in core.members.known.values()),
-            len(links.outward) + len(links.inward),
+            len(links.outbound) + len(links.inbound),
             sum(links.dropped.values()),
         )
 
@@ -183,7 +183,7 @@
 def found_folder(folder: Path) -> None:
     """As `merlintally cluster init` does."""
     disk = Disk(folder)
-    disk.admitted()
+    disk.mark_admitted()
     disk.close()
 
 
@@ -237,7 +237,7 @@
         """All nodes have the rhythm of a real node from now on, also those that are restarted."""
         self.spec = msgspec.structs.replace(self.spec, exchange_s=None)
         for node in self.nodes.values():
-            node.exchange(node.plan.rhythm.exchange_s)
+            node.exchange(node.settings.swim_settings.state_exchange_s)
 
     async def changes(self, count: int, payload: str, id_: str) -> list[int]:
         """Have the leader, which has to be one of these nodes, agree on `count` entries at once, each with a
@@ -247,7 +247,7 @@
         before = leader.core.work.index
         async with anyio.create_task_group() as group:
             for at in range(count):
-                group.start_soon(leader.ask, f"{id_}:{at}", "pause", [payload, "laboratory"])
+                group.start_soon(leader.request, f"{id_}:{at}", "pause", [payload, "laboratory"])
         return list(range(before + 1, before + count + 1))
 
     async def until_applied(self, index: int) -> float:
--- a/merlintally/lab/scale/hollow_check.py
+++ b/merlintally/lab/scale/hollow_check.py
@@ -23,8 +23,8 @@
 
 import anyio
 
-from merlintally.cluster.links import Bad
-from merlintally.cluster.links import ask as ask_one
+from merlintally.cluster.links import InvalidFrame
+from merlintally.cluster.links import request as ask_one
 from merlintally.lab.scale.hollow import HollowSpec, found_folder
 from merlintally.lab.scale.hollow_cluster import (
     END_S,
@@ -109,7 +109,7 @@
         async def ask() -> tuple[bool, str]:
             return await ask_one(where, part.name, part.secret, secrets.token_hex(4), "status", [], ASK_S)
 
-        with suppress(OSError, TimeoutError, Bad, anyio.EndOfStream, anyio.BrokenResourceError):
+        with suppress(OSError, TimeoutError, InvalidFrame, anyio.EndOfStream, anyio.BrokenResourceError):
             found: dict[str, Any] = json.loads(anyio.run(ask)[1])
             return found
         return {}
--- a/merlintally/lab/scale/meter.py
+++ b/merlintally/lab/scale/meter.py
@@ -106,11 +106,11 @@
 
     def send(self, to: str, call: str, args: tuple[Any, ...]) -> None:
         super().send(to, call, args)
-        self.sent.add(to, call, len(self.outward[to].queue[-1]))
+        self.sent.add(to, call, len(self.outbound[to].queue[-1]))
 
-    def tell(self, to: str, call: str, args: tuple[Any, ...]) -> None:
+    def send_datagram(self, to: str, call: str, args: tuple[Any, ...]) -> None:
         before = self.sent_bytes
-        super().tell(to, call, args)
+        super().send_datagram(to, call, args)
         if self.sent_bytes > before:
             self.sent.add(to, call, self.sent_bytes - before)
 
--- a/merlintally/lab/scale/slopes_agreed.py
+++ b/merlintally/lab/scale/slopes_agreed.py
@@ -12,11 +12,11 @@
 from random import Random
 from statistics import median
 
-from merlintally.cluster.agreement import Kept
+from merlintally.cluster.agreement import PersistentState
 from merlintally.cluster.copies import Copies, Terms
-from merlintally.cluster.core import STEP_S, Cluster, Me
-from merlintally.cluster.links import call_of
-from merlintally.cluster.node import plan_of
+from merlintally.cluster.core import COORDINATOR_STEP_S, Cluster, NodeIdentity
+from merlintally.cluster.links import decode_message
+from merlintally.cluster.node import cluster_settings_of
 from merlintally.cluster.work.coordinator import Heard, Report
 from merlintally.cluster.work.state import Machine, Work, machines_of, work_of
 from merlintally.lab.scale.control_schedule import CODEC, rest_with_dead, sealed
@@ -78,10 +78,16 @@
 def leader_of(work: Work, context: Context) -> tuple[Cluster, float]:
     """A core that leads alone, with this agreed state, and its time."""
     part = ClusterPart(voters=("edge-0000",), seeds={"edge-0000": "127.100.1.1:7600"})
-    core = Cluster(Me("edge-0000", "127.100.1.1:7600", 1), plan_of(part), Kept(), Random(context.seed), 0.0)
+    core = Cluster(
+        NodeIdentity("edge-0000", "127.100.1.1:7600", 1),
+        cluster_settings_of(part),
+        PersistentState(),
+        Random(context.seed),
+        0.0,
+    )
     now = 0.0
     for _ in range(MOST_STEPS):
-        now += STEP_S
+        now += COORDINATOR_STEP_S
         core.wake(now)
         while (found := core.take_results()).persist:
             core.synced(now, found.number)
@@ -101,14 +107,14 @@
     for at in range(1, size.edge_nodes):
         core.coordinator.heard[f"edge-{at:04d}"] = Heard(report(off), now + 1.0)
     frame = renewal(off)
-    read_s = median_time(lambda: call_of(CODEC.open(frame[HEAD:])), 50)
+    read_s = median_time(lambda: decode_message(CODEC.open(frame[HEAD:])), 50)
 
     def step() -> None:
         core.step_at = now + 1.0
         core.wake(now + 1.0)
         core.take_results()
 
-    return read_s * size.edge_nodes / ClusterPart().renew_s + median_time(step) / STEP_S
+    return read_s * size.edge_nodes / ClusterPart().renew_s + median_time(step) / COORDINATOR_STEP_S
 
 
 # The list itself.
@@ -132,7 +138,7 @@
     core, _ = leader_of(Work(), context)
 
     def apply() -> None:
-        _, (_, _, state, _) = call_of(CODEC.open(frame[HEAD:]))
+        _, (_, _, state, _) = decode_message(CODEC.open(frame[HEAD:]))
         core.edge.follow(work_of(state))
 
     return median_time(apply)
--- a/merlintally/lab/schedules/agreement.py
+++ b/merlintally/lab/schedules/agreement.py
@@ -8,10 +8,25 @@
 from random import Random
 from typing import Any
 
-from merlintally.cluster.agreement import Config, Entry, Kept, Pace, Raft, Results, Snapshot
+from merlintally.cluster.agreement import (
+    Config,
+    Entry,
+    PersistentState,
+    Raft,
+    RaftSettings,
+    Results,
+    Snapshot,
+)
 from merlintally.lab.schedules.world import Drifting, Found, Judge, Verdict
 
-PACE = Pace(heartbeat_s=0.1, election_s=0.4, batch=400, flight=4, chunk=40, pending=200)
+PACE = RaftSettings(
+    heartbeat_s=0.1,
+    election_s=0.4,
+    batch_bytes=400,
+    max_in_flight=4,
+    snapshot_chunk_bytes=40,
+    max_uncommitted=200,
+)
 LENGTH_S, HEALED_S = 5.0, 4.0
 
 
@@ -19,7 +34,7 @@
     """Rows are safe once synced; a crash leaves a part of those that were not."""
 
     def __init__(self) -> None:
-        self.safe, self.unsafe = Kept(), list[tuple[int, tuple[Any, ...]]]()
+        self.safe, self.unsafe = PersistentState(), list[tuple[int, tuple[Any, ...]]]()
         self.syncing = False
 
     def write(self, number: int, row: tuple[Any, ...]) -> None:
@@ -27,14 +42,14 @@
 
     def sync(self, upto: int) -> None:
         while self.unsafe and self.unsafe[0][0] <= upto:
-            self.safe.take(self.unsafe.pop(0)[1])
+            self.safe.apply(self.unsafe.pop(0)[1])
 
     def crash(self, random: Random) -> None:
         for _, row in self.unsafe[: random.randint(0, len(self.unsafe))]:
             if row[0] == "add" and random.random() < 0.3:  # torn: some of its entries are whole, and no more
-                self.safe.take(("add", row[1], row[2][: random.randint(0, len(row[2]))]))
+                self.safe.apply(("add", row[1], row[2][: random.randint(0, len(row[2]))]))
                 break
-            self.safe.take(row)
+            self.safe.apply(row)
         self.unsafe, self.syncing = [], False
 
 
@@ -53,7 +68,7 @@
     def start(self) -> None:
         self.life += 1
         self.wake_at = 0.0
-        kept = Kept(
+        kept = PersistentState(
             self.disk.safe.term, self.disk.safe.vote, self.disk.safe.snapshot, list(self.disk.safe.entries)
         )
         self.state, self.reads = states_of(kept.snapshot.data), []
@@ -64,7 +79,7 @@
             self.rig.pace,
             Random(self.rig.world.random.random()),
             self.clock.now(),
-            mistakes=self.rig.mistakes,
+            injected_faults=self.rig.mistakes,
         )
         self.settle()
 
@@ -107,7 +122,7 @@
         for op in found.refused:
             op.unknown = True
         assert self.core is not None
-        for index, op in [one for one in self.reads if one[0] <= self.core.applied]:
+        for index, op in [one for one in self.reads if one[0] <= self.core.applied_index]:
             op.done(self.rig.world.now, list(self.state))
             self.reads.remove((index, op))
 
@@ -157,7 +172,7 @@
         names = [f"v{at}" for at in range(count + 1)]
         cut = random.choice((count, count, count, 2 if count == 3 else 3))  # the others learn at first
         self.config = Config(tuple(names[:cut]), tuple(names[cut:]) if random.random() < 0.6 else ())
-        self.pace = PACE._replace(batch=random.choice((20, 20, 400)))
+        self.pace = PACE._replace(batch_bytes=random.choice((20, 20, 400)))
         self.drift = random.choice((0.0, 0.01, 0.1))
         self.slow_disk = random.choice((0.0, 0.02, 0.2))
         self.voters = {name: Voter(self, name) for name in names}
@@ -178,7 +193,7 @@
     def deliver(self, to: str, sender: str, call: str, args: tuple[Any, ...]) -> None:
         voter = self.voters[to]
         if voter.core is not None:
-            voter.core.hear(voter.clock.now(), sender, call, args)
+            voter.core.receive(voter.clock.now(), sender, call, args)
             voter.settle()
 
     # Faults and load, drawn from the seed.
@@ -295,7 +310,7 @@
 
     def _compact(self) -> None:
         voter = self.world.random.choice(list(self.voters.values()))
-        if voter.core is not None and voter.core.applied > voter.core.log.snapshot.upto + 2:
+        if voter.core is not None and voter.core.applied_index > voter.core.log.snapshot.included_index + 2:
             self.count("snapshots")
             voter.do("compact", b" ".join(b"%d" % one for one in voter.state))
 
@@ -318,14 +333,16 @@
             if other not in now.voters or len(now.voters) > 2:
                 self.count(
                     "changes of members"
-                    if led.do("change", Config(tuple(sorted(voters)), tuple(sorted(learners - voters))))
+                    if led.do(
+                        "change_config", Config(tuple(sorted(voters)), tuple(sorted(learners - voters)))
+                    )
                     else "changes refused"
                 )
 
     def _transfer(self) -> None:
         if (led := self._leader()) is not None and led.core is not None:
             self.count("transfers")
-            led.do("transfer", self.world.random.choice(led.core.config.voters))
+            led.do("transfer_leadership", self.world.random.choice(led.core.config.voters))
 
     def _client(self) -> None:
         """A client calls whoever it takes for the leader."""
@@ -364,7 +381,7 @@
             self.broken(f"{voter.name} and {self.leaders[core.term]} lead in term {core.term}")
         self.leaders[core.term] = voter.name
         for index, entry in self.committed.items():
-            if index > core.log.snapshot.upto and core.log.term_at(index) != entry.term:
+            if index > core.log.snapshot.included_index and core.log.term_at(index) != entry.term:
                 self.broken(f"{voter.name} leads in term {core.term} without the committed entry {index}")
                 return
 
@@ -383,8 +400,8 @@
             op.done(self.world.now, [])
 
     def watch_restored(self, voter: Voter, shot: Snapshot) -> None:
-        if shot.upto in self.states and self.states[shot.upto] != voter.state:
-            self.broken(f"{voter.name} takes a snapshot at {shot.upto} of another state")
+        if shot.included_index in self.states and self.states[shot.included_index] != voter.state:
+            self.broken(f"{voter.name} takes a snapshot at {shot.included_index} of another state")
 
     def linearizable(self) -> None:
         """Reads of a list that only grows, of numbers that each client gave once: every read has to be a part
--- a/merlintally/lab/schedules/measure.py
+++ b/merlintally/lab/schedules/measure.py
@@ -18,7 +18,7 @@
 
 from merlintally.cluster.copies import Copies as CopiesCore
 from merlintally.cluster.copies import Terms as CopyTerms
-from merlintally.cluster.members import Rhythm
+from merlintally.cluster.members import SwimSettings
 from merlintally.cluster.work.coordinator import Terms
 from merlintally.lab.schedules import copies, members
 from merlintally.lab.schedules.work import Node, Rig
@@ -46,7 +46,7 @@
     the next machine was out.
     """
     terms = Terms(lease_s=3.0, renew_s=0.5, drift=0.02, warm_s=1.0 if kill else 15.0, longest_s=0.25)
-    rig = Rig(seed, size, 3, terms=terms, rhythm=Rhythm(), drift=0.01)
+    rig = Rig(seed, size, 3, terms=terms, rhythm=SwimSettings(), drift=0.01)
     work_s = 2.0 if kill else WORK_S
     rig.work_s = (work_s, work_s)
     rig.load_s = 1.0 if size > 50 else 0.1
--- a/merlintally/lab/schedules/members.py
+++ b/merlintally/lab/schedules/members.py
@@ -7,11 +7,11 @@
 from statistics import median
 from typing import Any
 
-from merlintally.cluster.members import Members, Rhythm
-from merlintally.cluster.members.core import DEAD, LEFT, START, STATES, SUSPECT
+from merlintally.cluster.members import Members, SwimSettings
+from merlintally.cluster.members.core import DEAD, INCARNATIONS_PER_START, LEFT, STATES, SUSPECT
 from merlintally.lab.schedules.world import Drifting, Verdict, World
 
-USUAL = Rhythm()
+USUAL = SwimSettings()
 HEAD = 40  # bytes of a datagram beside its news
 
 
@@ -74,7 +74,7 @@
         self,
         seed: int,
         size: int,
-        rhythm: Rhythm,
+        rhythm: SwimSettings,
         mistakes: Iterable[str] = (),
         drift: float = 0.01,
         seeds: int = 3,
@@ -99,7 +99,7 @@
             return
         if sender in self.leaving:
             self.goodbyes.add((sender, to, machine.life))
-        machine.core.hear(machine.clock.now(), sender, call, args)
+        machine.core.receive(machine.clock.now(), sender, call, args)
         machine.settle()
 
     def changed(self, machine: Machine, name: str, state: int) -> None:
@@ -113,7 +113,7 @@
 def play(seed: int, mistakes: Iterable[str] = ()) -> Verdict:
     """One schedule: faults for a while, then none; in the end all views have to be the truth."""
     random, verdict = Random(seed), Verdict(seed)
-    rhythm = Rhythm(exchange_s=4.0, again_s=2.0, alpha=2.0, beta=3.0)
+    rhythm = SwimSettings(state_exchange_s=4.0, dead_probe_s=2.0, alpha=2.0, beta=3.0)
     rig = Rig(seed, random.randint(3, 9), rhythm, mistakes, drift=0.05)
     world, names = rig.world, list(rig.machines)
     world.loss, world.double = random.choice((0, 0.05, 0.2)), random.choice((0, 0.1))
@@ -165,7 +165,10 @@
                     verdict.broken.append(f"{world.now:.1f} {name} goes back to older news of {other}")
                 rises[name, other] = one.incarnation
             rises[name, ""] = machine.starts
-            if machine.core is not None and machine.core.incarnation < machine.starts * START:
+            if (
+                machine.core is not None
+                and machine.core.incarnation < machine.starts * INCARNATIONS_PER_START
+            ):
                 verdict.broken.append(f"{world.now:.1f} {name} tells its new start by an old incarnation")
 
     for at in range(1, 130):
@@ -199,7 +202,7 @@
     loss: float = 0.0,
     stopped: float = 0.0,
     length_s: float = 120.0,
-    rhythm: Rhythm = USUAL,
+    rhythm: SwimSettings = USUAL,
 ) -> dict[str, float]:
     """One run of `size` nodes: a death in the middle; `stopped` of the nodes stop for 3 s each half minute.
     Gives seconds until the first, half and all know, false suspicions and deaths an hour, bytes a second a
--- a/merlintally/lab/schedules/parts.py
+++ b/merlintally/lab/schedules/parts.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from merlintally.cluster.members import Rhythm
+from merlintally.cluster.members import SwimSettings
 from merlintally.cluster.work.parts import RECALLED, WHOLE
 from merlintally.cluster.work.state import entry
 from merlintally.lab.schedules.work import TERMS, Node, Rig
@@ -17,7 +17,9 @@
 LENGTH_S, HEALED_S = 20.0, 8.0
 FAULTS = (*("kill", "stop", "part", "one way", "word", "word") * 2, "leader", "all down")
 CUSTOMERS = ("c0", "c1")
-RHYTHM = Rhythm(period_s=0.3, answer_s=0.1, exchange_s=3.0, again_s=1.0, alpha=2.0, beta=2.0)
+RHYTHM = SwimSettings(
+    period_s=0.3, probe_timeout_s=0.1, state_exchange_s=3.0, dead_probe_s=1.0, alpha=2.0, beta=2.0
+)
 
 
 class PartsRig(Rig):
--- a/merlintally/lab/schedules/work.py
+++ b/merlintally/lab/schedules/work.py
@@ -9,17 +9,17 @@
 from random import Random
 from typing import Any
 
-from merlintally.cluster.agreement import Kept, Pace
-from merlintally.cluster.core import Cluster, Local, Me, Plan
-from merlintally.cluster.members import Rhythm
+from merlintally.cluster.agreement import PersistentState, RaftSettings
+from merlintally.cluster.core import Cluster, ClusterSettings, LocalObservations, NodeIdentity
+from merlintally.cluster.members import SwimSettings
 from merlintally.cluster.work.coordinator import Terms
 from merlintally.cluster.work.state import OUT, Machine, entry, most
 from merlintally.lab.schedules.agreement import Disk
 from merlintally.lab.schedules.world import Drifting, Found, Judge, Verdict
 
 TERMS = Terms(lease_s=1.5, renew_s=0.3, drift=0.02, warm_s=1.0, longest_s=0.25)
-PACE = Pace(heartbeat_s=0.1, election_s=0.4)
-USUAL = Rhythm()
+PACE = RaftSettings(heartbeat_s=0.1, election_s=0.4)
+USUAL = SwimSettings()
 LOOK_S, STEP_S = 0.05, 0.2
 FAULTS = (
     "kill",
@@ -66,9 +66,9 @@
         self.wake_at = self.stopped_until = 0.0
         safe = self.disk.safe
         self.core = Cluster(
-            Me(self.name, f"{self.name}:1", self.starts),
+            NodeIdentity(self.name, f"{self.name}:1", self.starts),
             rig.plan,
-            Kept(safe.term, safe.vote, safe.snapshot, list(safe.entries)),
+            PersistentState(safe.term, safe.vote, safe.snapshot, list(safe.entries)),
             Random(rig.world.random.random()),
             self.clock.now(),
             self.blank,
@@ -97,7 +97,7 @@
         for id_, ok, text in found.answers:
             rig.answered(id_, ok, text)
         rig.words.update(core.proposed)
-        self.blank = self.blank and core.raft.blank
+        self.blank = self.blank and core.raft.lost_state
         when = self.clock.world_time(found.wake_at)
         if not self.wake_at or when < self.wake_at or self.wake_at <= world.now:
             self.wake_at = max(when, world.now + 0.001)
@@ -122,7 +122,7 @@
             self.rig.world.at(self.stopped_until, self.woken, life)
         elif now >= self.wake_at - 1e-9:
             self.busy = {server: until for server, until in self.busy.items() if until > now}
-            self.core.local = Local(
+            self.core.local = LocalObservations(
                 frozenset(self.busy),
                 now >= self.open_until,
                 self.rig.off(),
@@ -145,7 +145,7 @@
         mistakes: Iterable[str] = (),
         drift: float = 0.01,
         terms: Terms = TERMS,
-        rhythm: Rhythm = USUAL,
+        rhythm: SwimSettings = USUAL,
         bears: float = 0.0,
     ) -> None:
         super().__init__(seed, mistakes)
@@ -153,7 +153,7 @@
         if "clocks run unlike beyond the stated share" in self.mistakes:
             self.drift = 0.6
         names = [f"n{at}" for at in range(size)]
-        self.plan = Plan(
+        self.plan = ClusterSettings(
             tuple(names[:voters]), {name: f"{name}:1" for name in names[:voters]}, PACE, rhythm, terms
         )
         self.machines = {
@@ -183,7 +183,7 @@
         if not node.running:
             self.world.at(node.stopped_until, self.deliver, to, sender, call, args)
             return
-        node.core.hear(node.clock.now(), sender, call, args)
+        node.core.receive(node.clock.now(), sender, call, args)
         node.settle()
 
     def off(self) -> tuple[str, ...]:
@@ -197,7 +197,7 @@
         self.told.pop(id_, None)
         node = self.world.random.choice(list(self.nodes.values()))
         if node.running and node.core is not None:
-            node.core.ask(node.clock.now(), id_, verb, list(args))
+            node.core.request(node.clock.now(), id_, verb, list(args))
             node.settle()
         self.world.after(0.5, lambda: self.ask(id_, verb, *args, tries=tries - 1))
 
@@ -218,7 +218,7 @@
             for turn in list(node.core.work.turns.values()):
                 if turn.state == OUT and turn.machine not in self.touched:
                     self.number += 1
-                    node.core.ask(node.clock.now(), f"look:{self.number}", "turn", [turn.machine])
+                    node.core.request(node.clock.now(), f"look:{self.number}", "turn", [turn.machine])
                     node.settle()
         self.world.after(LOOK_S, self.look)
 
@@ -377,7 +377,9 @@
     """One schedule: work on all of 4 to 7 machines, or of `size`, goes round under faults; in the end all of
     it is done."""
     random = Random(seed)
-    rhythm = Rhythm(period_s=0.3, answer_s=0.1, exchange_s=3.0, again_s=1.0, alpha=2.0, beta=2.0)
+    rhythm = SwimSettings(
+        period_s=0.3, probe_timeout_s=0.1, state_exchange_s=3.0, dead_probe_s=1.0, alpha=2.0, beta=2.0
+    )
     rig = Rig(
         seed,
         size or random.randint(4, 7),
@@ -415,7 +417,7 @@
             world.part_some(names, random, what == "part")
         else:
             # a majority of voters without their logs is lost for good: one at a time, until it votes again
-            whole = all(one.core is not None and not one.core.raft.blank for one in rig.nodes.values())
+            whole = all(one.core is not None and not one.core.raft.lost_state for one in rig.nodes.values())
             empty = what == "empty" and whole and not rig.emptied
             rig.emptied = rig.emptied or empty
             for one in rig.nodes.values() if what == "all down" else (node,):
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -19,10 +19,19 @@
 from click.testing import CliRunner
 
 from merlintally.cli.front import front
-from merlintally.cluster.agreement import Kept
+from merlintally.cluster.agreement import PersistentState
 from merlintally.cluster.copies import Terms as CopyTerms
-from merlintally.cluster.core import FORMS, Cluster, Me, Plan
-from merlintally.cluster.links import FORM, MOST_HELLO, Bad, Codec, Links, ask, call_of, read_frame
+from merlintally.cluster.core import MESSAGE_TYPES, Cluster, ClusterSettings, NodeIdentity
+from merlintally.cluster.links import (
+    FORMAT_VERSION,
+    MAX_HELLO_BYTES,
+    Codec,
+    InvalidFrame,
+    Links,
+    decode_message,
+    read_frame,
+    request,
+)
 from merlintally.forms import Faults
 from merlintally.lab.faults.check import check
 from merlintally.lab.faults.play import play
@@ -32,7 +41,7 @@
 from merlintally.operators import read_operators
 
 Messages = list[tuple[str, str, tuple[Any, ...]]]  # sender, message, arguments
-COPYING = Plan(("n0", "n1"), {"n0": "n0:1", "n1": "n1:1"}, copies=CopyTerms())
+COPYING = ClusterSettings(("n0", "n1"), {"n0": "n0:1", "n1": "n1:1"}, copies=CopyTerms())
 
 
 # Frames.
@@ -47,7 +56,7 @@
         (Codec("one", "secret"), sealed[:-1] + b"x"),
         (Codec("one", "secret"), b"short"),
     ):
-        with pytest.raises(Bad, match="of another cluster, or corrupt"):
+        with pytest.raises(InvalidFrame, match="of another cluster, or corrupt"):
             other.open(data)
 
 
@@ -64,8 +73,8 @@
     ],
 )
 def test_invalid_messages_are_rejected(body: bytes) -> None:
-    with pytest.raises(Bad):
-        call_of(body)
+    with pytest.raises(InvalidFrame):
+        decode_message(body)
 
 
 def test_every_message_type_has_a_handler() -> None:
@@ -79,15 +88,15 @@
         "w": (Cluster, "_on_"),
         "c": (Copies, "_on_"),
     }
-    for call in FORMS:
+    for call in MESSAGE_TYPES:
         owner, prefix = owners[call[0]]
         assert callable(getattr(owner, prefix + call[2:]))
 
 
 def test_a_frame_that_is_too_long_is_rejected_before_it_is_read() -> None:
-    header = bytearray((MOST_HELLO + 1).to_bytes(4, "big") + b"x")
-    with pytest.raises(Bad, match=f"{MOST_HELLO + 1} bytes long"):
-        anyio.run(read_frame, Mock(), header, MOST_HELLO)
+    header = bytearray((MAX_HELLO_BYTES + 1).to_bytes(4, "big") + b"x")
+    with pytest.raises(InvalidFrame, match=f"{MAX_HELLO_BYTES + 1} bytes long"):
+        anyio.run(read_frame, Mock(), header, MAX_HELLO_BYTES)
 
 
 class LoopbackLinks:
@@ -146,14 +155,14 @@
 
     async def act() -> None:
         a.send("b", "r.begin", (7,))
-        a.tell("b", "m.ack", (3, [("x", 0, 1, "1.2.3.4:5", "")]))
+        a.send_datagram("b", "m.ack", (3, [("x", 0, 1, "1.2.3.4:5", "")]))
         await loopback.until(lambda: len(loopback.received["b"]) == 2)
-        assert await ask(("127.0.0.1", loopback.ports["a"]), "c", "s", "id", "status", [1]) == (
+        assert await request(("127.0.0.1", loopback.ports["a"]), "c", "s", "id", "status", [1]) == (
             True,
             "status [1]",
         )
-        with pytest.raises((Bad, OSError, anyio.EndOfStream)):
-            await ask(("127.0.0.1", loopback.ports["a"]), "other", "s", "id", "status", [])
+        with pytest.raises((InvalidFrame, OSError, anyio.EndOfStream)):
+            await request(("127.0.0.1", loopback.ports["a"]), "other", "s", "id", "status", [])
 
     loopback.run(act, a, b)
     assert sorted(loopback.received["b"], key=str) == [
@@ -168,7 +177,7 @@
     new, old, b = loopback.links("a", 5), loopback.links("a", 4), loopback.links("b")
 
     async def act() -> None:
-        b._check_hello(FORM, "c", "a", 5, new.instance_id)
+        b._check_hello(FORMAT_VERSION, "c", "a", 5, new.instance_id)
         old.group = b.group
         old.send("b", "r.begin", (7,))
         await loopback.until(lambda: bool(loopback.newer_starts))
@@ -247,12 +256,15 @@
 def test_copies_are_shown_compared_and_exported(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path, file = tmp_path / "operators.toml", tmp_path / "rows"
     path.write_text(GOOD.format(folder=tmp_path / "state") + 'n1 = "127.0.0.1:7602"\n')
-    identities = (Me("n0", "n0:1", 1), Me("n1", "n1:1", 1))
-    cores = {identity.name: Cluster(identity, COPYING, Kept(), Random(1), 0.0) for identity in identities}
+    identities = (NodeIdentity("n0", "n0:1", 1), NodeIdentity("n1", "n1:1", 1))
+    cores = {
+        identity.name: Cluster(identity, COPYING, PersistentState(), Random(1), 0.0)
+        for identity in identities
+    }
 
     def answered(part: Any, node: str | None, verb: str, args: list[Any]) -> tuple[bool, str]:
         core = cores[node or "n0"]
-        core.ask(1.0, "q", verb, args)
+        core.request(1.0, "q", verb, args)
         return core.take_results().answers[0][1:]
 
     monkeypatch.setattr("merlintally.cli.copying.ask", answered)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -12,10 +12,10 @@
 import anyio
 import pytest
 
-from merlintally.cluster.agreement import Kept
-from merlintally.cluster.copies import MISTAKES, Copies, Row, Store, Terms, holders_of, shard_of
+from merlintally.cluster.agreement import PersistentState
+from merlintally.cluster.copies import INJECTED_FAULTS, Copies, Row, Store, Terms, holders_of, shard_of
 from merlintally.cluster.copies.store import OUT, SERVER, USE
-from merlintally.cluster.core import Cluster, Me, Plan
+from merlintally.cluster.core import Cluster, ClusterSettings, NodeIdentity
 from merlintally.cluster.disk import Disk
 from merlintally.cluster.members.core import DEAD
 from merlintally.cluster.node import ClusterNode
@@ -221,24 +221,24 @@
     others: int, dead: int, leased: bool, whole: bool
 ) -> None:
     names = [f"n{at}" for at in range(others)]
-    plan = Plan(("n0",), {name: f"{name}:1" for name in names}, copies=Terms())
-    core = Cluster(Me("a", "a:1", 1), plan, Kept(), Random(1), 100.0)
+    plan = ClusterSettings(("n0",), {name: f"{name}:1" for name in names}, copies=Terms())
+    core = Cluster(NodeIdentity("a", "a:1", 1), plan, PersistentState(), Random(1), 100.0)
     assert core.copies is not None
     core.copies.caught_up = True
     core.edge.renewed(100.0 if leased else 90.0, 0, 100.0)
     for name in names[:dead]:
         core.members.known[name].state = DEAD
-    assert core.hears_all(101.0) is whole
+    assert core.sees_all_draws(101.0) is whole
 
 
 def test_kept_rows_are_read_again_and_spoilt_ones_are_none(tmp_path: Path) -> None:
     disk = Disk(tmp_path)
-    disk.keep([ROW])
-    assert disk.kept_rows() == [ROW]
+    disk.store_copies([ROW])
+    assert disk.load_copies() == [ROW]
     data = bytearray((tmp_path / "copies").read_bytes())
     data[-1] ^= 0x55
     (tmp_path / "copies").write_bytes(data)
-    assert disk.kept_rows() == []
+    assert disk.load_copies() == []
 
 
 def test_what_others_drew_reaches_the_decisions_as_notes_but_for_the_first_sum(tmp_path: Path) -> None:
@@ -246,18 +246,18 @@
         log = Log("a", 99.0, StringIO())
         part = ClusterPart(name="c", folder=str(tmp_path), listen="127.0.0.1:1", voters=("a",), copies=1)
         node = ClusterNode(part, "a", 1, Disk(tmp_path), log)
-        node._summed([("000000ff", 40.0)])  # drawn before this start heard of it, and long flowed back
+        node._add_sums([("000000ff", 40.0)])  # drawn before this start heard of it, and long flowed back
         assert told(node.sums.values()) == b""
-        node._summed([("000000ff", 43.5)])
+        node._add_sums([("000000ff", 43.5)])
         assert list(unpack(told(node.sums.values()))) == [(255, 3.5)]
         assert told(node.sums.values()) == b""
-        node._summed([("000000ff", 1e12)])
+        node._add_sums([("000000ff", 1e12)])
         handed_on = 0
         while told(node.sums.values()):
             handed_on += 1
         assert handed_on < 10
         node.tell(told([SimpleNamespace(mark=255, drawn=2.0)]))
-        node._drawn(100.0)
+        node._collect_draws(100.0)
         assert node.core.copies is not None and node.core.copies.store.used("000000ff") == 2.0
 
     anyio.run(act)
@@ -277,4 +277,6 @@
 
 @pytest.mark.parametrize("mistake", FOUND)
 def test_a_planted_mistake_is_found(mistake: str) -> None:
-    assert mistake in MISTAKES and any(play(seed, (mistake,)).broken for seed in range(FOUND[mistake] + 1))
+    assert mistake in INJECTED_FAULTS and any(
+        play(seed, (mistake,)).broken for seed in range(FOUND[mistake] + 1)
+    )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -47,7 +47,7 @@
 
 from merlintally.choice import Gateway, Submission
 from merlintally.cluster.agreement import Config, Entry, Snapshot
-from merlintally.cluster.disk import Disk, Full
+from merlintally.cluster.disk import Disk, WriteFailed
 from merlintally.cluster.node import open_disk
 from merlintally.interface import ServerFacts
 from merlintally.net import counter as counter_module
@@ -498,7 +498,7 @@
 
 
 def words_kept(folder: Path) -> list[bytes]:
-    return [one.data for one in Disk(folder).kept.entries]
+    return [one.data for one in Disk(folder).state.entries]
 
 
 def test_what_is_promised_after_a_failed_snapshot_is_there_after_a_restart(
@@ -511,7 +511,7 @@
     for name in ("replace", "fsync", "open", "write"):
         with monkeypatch.context() as failing:
             failing.setattr(os, name, fails_after(getattr(os, name), 1 if name == "fsync" else 0))
-            with pytest.raises(Full):
+            with pytest.raises(WriteFailed):
                 disk.write([shot])
         disk.write([entry(2, name.encode())])
     disk.close()
@@ -540,9 +540,9 @@
         write = os.write
         failing.setattr(os, "write", lambda file, data: write(file, data[:7]) and fails_after(write, 0)())
         failing.setattr(os, "ftruncate", fails_after(os.ftruncate, 0))
-        with pytest.raises(Full):
+        with pytest.raises(WriteFailed):
             disk.write([entry(2, b"two")])
-        with pytest.raises(Full):  # while it can't be cut off
+        with pytest.raises(WriteFailed):  # while it can't be cut off
             disk.write([entry(2, b"two")])
     disk.write([entry(2, b"again")])
     disk.close()
@@ -647,7 +647,7 @@
         killed.setattr(Path, "read_bytes", fails_after(Path.read_bytes, 0))
         with pytest.raises(OSError):
             Disk(tmp_path)
-    assert Disk(tmp_path).blank
+    assert Disk(tmp_path).lost_state
 
 
 # Calls on sockets that are waited for, ended or closed.
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -12,7 +12,7 @@
 import pytest
 from anyio.abc import SocketStream
 
-from merlintally.cluster.links import Links, Outward
+from merlintally.cluster.links import Links, OutboundStream
 from merlintally.lab.scale.control_schedule import lose_zone, part_regions
 from merlintally.lab.scale.hollow_check import compare
 from merlintally.lab.scale.hollow_cluster import HollowCluster, HollowFailed, Network, mean_traffic
@@ -126,6 +126,6 @@
             raise anyio.BrokenResourceError
 
     links = Links("c", "s", "n0", 1, ("127.0.0.1", 0), Random(1), Mock(), Mock(), Mock(), Mock(), Mock())
-    outward = Outward("n1")
-    outward.queue.append(b"data")
-    anyio.run(links._pour, outward, cast(SocketStream, Broken()))
+    outbound = OutboundStream("n1")
+    outbound.queue.append(b"data")
+    anyio.run(links._run_stream, outbound, cast(SocketStream, Broken()))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from merlintally.cluster.work.parts import MISTAKES, Heard, Parts, Refused, next_words, share_of
+from merlintally.cluster.work.parts import INJECTED_FAULTS, Heard, Parts, Refused, next_words, share_of
 from merlintally.cluster.work.state import Work, entry, work_of
 from merlintally.lab.schedules.parts import play
 
@@ -116,6 +116,6 @@
 }
 
 
-@pytest.mark.parametrize("mistake", MISTAKES)
+@pytest.mark.parametrize("mistake", INJECTED_FAULTS)
 def test_a_planted_mistake_is_found(mistake: str) -> None:
     assert play(FOUND[mistake], (mistake,)).broken
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -8,8 +8,8 @@
 import msgspec
 import pytest
 
-from merlintally.cluster.agreement import Config, Kept
-from merlintally.cluster.core import Cluster, Me, Plan
+from merlintally.cluster.agreement import Config, PersistentState
+from merlintally.cluster.core import Cluster, ClusterSettings, NodeIdentity
 from merlintally.cluster.work import Coordinator, Machine, Report, Seen, Terms, Work, next_turn
 from merlintally.cluster.work.edge import Edge
 from merlintally.cluster.work.state import entry, work_of
@@ -159,13 +159,13 @@
     core = led_by_a(("a", "b", "c"))
     core.work = agreed(("call", 1, "m0", "r1"), ("grant", 1, "m0"))
     core.work.machines["m0"] = msgspec.structs.replace(core.work.machines["m0"], edges=("b",))
-    core.work.index = core.raft.log.last
-    assert not core._change(Config(("a", "b")))  # of these two b is out
+    core.work.index = core.raft.log.last_index
+    assert not core._propose_config(Config(("a", "b")))  # of these two b is out
     core.work.turns["m0"].state = "called"  # which can wait until there are more
     core.work.index -= 1
-    assert not core._change(Config(("a", "b")))  # an entry is under way that may be a call
+    assert not core._propose_config(Config(("a", "b")))  # an entry is under way that may be a call
     core.work.index += 1
-    assert core._change(Config(("a", "b")))
+    assert core._propose_config(Config(("a", "b")))
 
 
 def test_never_below_what_the_traffic_of_now_needs() -> None:
@@ -274,25 +274,33 @@
 
 @pytest.mark.parametrize(("late_s", "taken"), [(2.9, True), (3.1, False)])
 def test_an_answer_that_comes_late_is_not_handed_on(late_s: float, taken: bool) -> None:
-    core = Cluster(Me("a", "a:1", 1), Plan(("b",), {"b": "b:1"}), Kept(), Random(1), 100.0)
-    core.guess = "b"
-    core.ask(100.0, "q", "turn", ["m0"])
+    core = Cluster(
+        NodeIdentity("a", "a:1", 1),
+        ClusterSettings(("b",), {"b": "b:1"}),
+        PersistentState(),
+        Random(1),
+        100.0,
+    )
+    core.leader_hint = "b"
+    core.request(100.0, "q", "turn", ["m0"])
     assert ("b", "w.ask", ("q", "turn", ["m0"])) in core.take_results().sends
-    core.hear(100.0 + late_s, "b", "w.answer", ("q", True, "out"))
+    core.receive(100.0 + late_s, "b", "w.answer", ("q", True, "out"))
     ((id_, ok, text),) = core.take_results().answers
     assert (id_, ok) == ("q", taken) and ("ask again" in text) is not taken
 
 
 def led_by_a(voters: tuple[str, ...]) -> Cluster:
     """The core of `a`, elected by `b`."""
-    core = Cluster(Me("a", "a:1", 1), Plan(voters, {}), Kept(), Random(1), 100.0)
+    core = Cluster(
+        NodeIdentity("a", "a:1", 1), ClusterSettings(voters, {}), PersistentState(), Random(1), 100.0
+    )
     core.wake(102.0)  # it would stand; b says that it would vote, then votes
     core.take_results()
-    core.hear(102.0, "b", "r.voted", (0, True, True, 1))
+    core.receive(102.0, "b", "r.voted", (0, True, True, 1))
     core.synced(102.0, core.take_results().number)
-    core.hear(102.0, "b", "r.voted", (1, False, True, 1))
+    core.receive(102.0, "b", "r.voted", (1, False, True, 1))
     core.synced(102.0, core.take_results().number)
-    core.hear(102.0, "b", "r.took", (1, True, 1, 0))
+    core.receive(102.0, "b", "r.took", (1, True, 1, 0))
     assert core.leads
     return core
 
@@ -310,8 +318,8 @@
     one.renewed(100.0, one.work.index, 105.0)
     assert one.may_send("s0", 104.0, 3.0) is mistaken
     core = led_by_a(("a", "b", "c"))
-    core.mistakes = planted("an old leader's word renews")
-    core.hear(102.2, "c", "w.renew", (102.1, Report(1, 0), False))
+    core.injected_faults = planted("an old leader's word renews")
+    core.receive(102.2, "c", "w.renew", (102.1, Report(1, 0), False))
     core.wake(102.3)  # nobody has said since that it leads
     told = [call for to, call, _ in core.take_results().sends if to == "c" and call == "w.right"]
     assert bool(told) is mistaken
@@ -321,12 +329,12 @@
     """Guards against people who touch a machine on the word of a node that is behind: two of the first sixty
     schedules showed it."""
     core = led_by_a(("a", "b", "c"))
-    core.ask(102.0, "q2", "turn", ["m0"])
+    core.request(102.0, "q2", "turn", ["m0"])
     assert core.take_results().answers == []  # not before the round
-    core.hear(102.0, "b", "r.took", (1, True, 1, core.raft.round))
+    core.receive(102.0, "b", "r.took", (1, True, 1, core.raft.heartbeat_round))
     ((id_, ok, text),) = core.take_results().answers
     assert (id_, ok) == ("q2", True) and '"known": false' in text
-    core.ask(102.0, "q3", "turn", ["m0"])
+    core.request(102.0, "q3", "turn", ["m0"])
     core.wake(110.0)  # nobody has answered since
     assert [(id_, ok) for id_, ok, _ in core.take_results().answers] == [("q3", False)]
 
