--- a/merlintally/cluster/agreement/log.py
+++ b/merlintally/cluster/agreement/log.py
@@ -1,4 +1,4 @@
-"""What a voter holds: entries behind a snapshot, and what of it is kept over a restart."""
+"""The replicated log and the persistent state of a Raft node."""
 
 from __future__ import annotations
 
@@ -7,11 +7,14 @@
 
 import msgspec
 
-DATA, CONFIG, BLANK = 0, 1, 2  # kinds of entries: the user's, who votes, a leader's first
+# Kinds of entries.
+DATA = 0  # a command for the state machine
+CONFIG = 1  # a configuration of the cluster
+NOOP = 2  # appended by a new leader
 
 
 class Entry(NamedTuple):
-    """One entry; its index is where it lies in the log."""
+    """One log entry; its index is its position in the log."""
 
     term: int
     kind: int
@@ -19,7 +22,7 @@
 
 
 class Config(NamedTuple):
-    """Who votes, and who only follows until it is caught up (learners)."""
+    """The voters, and the learners, which receive the log without voting."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
@@ -32,39 +35,39 @@
         return self.voters + self.learners
 
 
-def config_of(data: bytes) -> Config:
+def decode_config(data: bytes) -> Config:
     """
-    >>> config_of(Config(("a", "b"), ("c",)).encode())
+    >>> decode_config(Config(("a", "b"), ("c",)).encode())
     Config(voters=('a', 'b'), learners=('c',))
     """
     return msgspec.msgpack.decode(data, type=Config)
 
 
 class Snapshot(NamedTuple):
-    """All that the entries up to `index` have brought about, as bytes of the user's."""
+    """The state after all entries up to index `included_index`, encoded by the user of the core."""
 
-    upto: int = 0
+    included_index: int = 0
     term: int = 0
     config: Config = Config(())
     data: bytes = b""
 
 
 @dataclass(slots=True)
-class Kept:
-    """What a voter finds on its disk when it starts."""
+class PersistentState:
+    """The persistent state of a node, as read from disk at a start."""
 
     term: int = 0
     vote: str = ""
     snapshot: Snapshot = Snapshot()
-    entries: list[Entry] = field(default_factory=list)  # those behind the snapshot
+    entries: list[Entry] = field(default_factory=list)  # after the snapshot
 
-    def take(self, row: tuple[Any, ...]) -> None:
-        """One row of what a core had persisted, in its order.
+    def apply(self, row: tuple[Any, ...]) -> None:
+        """Apply one row of `Results.persist`; rows must be applied in order.
 
-        >>> kept = Kept()
+        >>> kept = PersistentState()
         >>> two = [Entry(2, DATA, b"x"), Entry(2, DATA, b"y")]
         >>> for row in (("vote", 2, "b"), ("add", 1, two), ("cut", 2)):
-        ...     kept.take(row)
+        ...     kept.apply(row)
         >>> kept.term, kept.vote, len(kept.entries)
         (2, 'b', 1)
         """
@@ -72,65 +75,69 @@
             case ("vote", term, vote):
                 self.term, self.vote = term, vote
             case ("cut", index):
-                del self.entries[max(0, index - self.snapshot.upto - 1) :]
+                del self.entries[max(0, index - self.snapshot.included_index - 1) :]
             case ("add", first, entries):
-                at = first - self.snapshot.upto - 1
-                if not 0 <= at <= len(self.entries):
-                    raise ValueError(f"an entry {first} lies behind a gap")
-                self.entries[at:] = entries
-            case ("snapshot", shot):
-                self.entries = self.entries[max(0, shot.upto - self.snapshot.upto) :]
-                self.snapshot = shot
+                offset = first - self.snapshot.included_index - 1
+                if not 0 <= offset <= len(self.entries):
+                    raise ValueError(f"the row appends at index {first}, which leaves a gap in the log")
+                self.entries[offset:] = entries
+            case ("snapshot", replacement):
+                self.entries = self.entries[
+                    max(0, replacement.included_index - self.snapshot.included_index) :
+                ]
+                self.snapshot = replacement
             case _:
-                raise ValueError(f"a row of an unknown kind {row[0]!r}")
+                raise ValueError(f"unknown row kind {row[0]!r}")
 
 
 class Log:
-    """Entries from `first` on, which follows the snapshot. Indices begin at 1.
+    """Entries after a snapshot; the first log index is 1.
 
-    >>> log = Log(Kept(entries=[Entry(1, DATA, b"x"), Entry(2, DATA, b"y")]))
-    >>> log.last, log.term_at(1), log.term_at(3), log.cut(2), log.last
+    >>> log = Log(PersistentState(entries=[Entry(1, DATA, b"x"), Entry(2, DATA, b"y")]))
+    >>> log.last_index, log.term_at(1), log.term_at(3), log.truncate_from(2), log.last_index
     (2, 1, None, None, 1)
     """
 
-    def __init__(self, kept: Kept) -> None:
-        self.snapshot, self.entries = kept.snapshot, list(kept.entries)
+    def __init__(self, stored: PersistentState) -> None:
+        self.snapshot, self.entries = stored.snapshot, list(stored.entries)
 
     @property
-    def last(self) -> int:
-        return self.snapshot.upto + len(self.entries)
+    def last_index(self) -> int:
+        return self.snapshot.included_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None of one that is not here, or no more."""
-        at = index - self.snapshot.upto
-        if at == 0:
+        """The term of the entry at `index`; None if it does not exist or was compacted."""
+        offset = index - self.snapshot.included_index
+        if offset == 0:
             return self.snapshot.term
-        return self.entries[at - 1].term if 0 < at <= len(self.entries) else None
+        return self.entries[offset - 1].term if 0 < offset <= len(self.entries) else None
 
     def entry(self, index: int) -> Entry:
-        return self.entries[index - self.snapshot.upto - 1]
-
-    def after(self, index: int, most: int) -> list[Entry]:
-        """Entries behind `index`, up to `most` bytes, but one at the least."""
-        found: list[Entry] = []
-        for entry in self.entries[index - self.snapshot.upto :]:
-            most -= len(entry.data) + 16
-            if found and most < 0:
+        return self.entries[index - self.snapshot.included_index - 1]
+
+    def entries_after(self, index: int, max_bytes: int) -> list[Entry]:
+        """Entries after `index` of up to `max_bytes` in total, and at least one if there is any."""
+        batch: list[Entry] = []
+        for entry in self.entries[index - self.snapshot.included_index :]:
+            max_bytes -= len(entry.data) + 16
+            if batch and max_bytes < 0:
                 break
-            found.append(entry)
-        return found
-
-    def cut(self, index: int) -> None:
-        """Drop the entry at `index` and all behind it."""
-        del self.entries[index - self.snapshot.upto - 1 :]
-
-    def reach(self, snapshot: Snapshot) -> bool:
-        """Begin behind a newer snapshot; False where what lies behind it here was another's, and is gone."""
-        kept = self.term_at(snapshot.upto) == snapshot.term
-        self.entries = self.entries[snapshot.upto - self.snapshot.upto :] if kept else []
+            batch.append(entry)
+        return batch
+
+    def truncate_from(self, index: int) -> None:
+        """Delete the entry at `index` and all later ones."""
+        del self.entries[index - self.snapshot.included_index - 1 :]
+
+    def restore_from(self, snapshot: Snapshot) -> bool:
+        """Replace the log up to the snapshot; False if later entries conflicted with it and were dropped."""
+        matches = self.term_at(snapshot.included_index) == snapshot.term
+        self.entries = (
+            self.entries[snapshot.included_index - self.snapshot.included_index :] if matches else []
+        )
         self.snapshot = snapshot
-        return kept
+        return matches
