--- a/merlintally/cluster/copies/spread.py
+++ b/merlintally/cluster/copies/spread.py
@@ -32,7 +32,8 @@
     "same": tuple[int, int, bool],  # shard, digest that is equal, whether its sender has caught up with it
 }
 HEAD = 48  # bytes of a row beside its names
-MOST_SUMS, MOST_FORGOTTEN = 1000, 2000  # looked at in one wake
+MOST_SUMS = 1000  # looked at in one wake
+MOST_FORGOTTEN = 2000  # looked at in one wake
 
 
 class Terms(NamedTuple):
--- a/merlintally/cluster/copies/store.py
+++ b/merlintally/cluster/copies/store.py
@@ -16,9 +16,13 @@
 
 from merlintally.cluster.copies.holders import shard_of
 
-USE, SERVER, OUT, MARK = "use", "server", "out", "mark"  # kinds of rows
+USE = "use"  # kinds of rows
+SERVER = "server"
+OUT = "out"
+MARK = "mark"
 WIDTHS = {USE: 1, SERVER: 4, OUT: 1, MARK: 1}  # figures of a row
-MOST_KEY, MOST_FIGURE = 200, 1e12
+MOST_KEY = 200
+MOST_FIGURE = 1e12
 BUCKETS = 16  # of a shard, whose digests tell where two copies of it differ
 
 MISTAKES = (  # planted by name, in tests only
--- a/merlintally/cluster/work/parts.py
+++ b/merlintally/cluster/work/parts.py
@@ -13,7 +13,9 @@
 from msgspec import Struct, field
 
 WHOLE = 1000
-ASKED, LENT, RECALLED = "asked", "lent", "recalled"
+ASKED = "asked"
+LENT = "lent"
+RECALLED = "recalled"
 MOST_LOANS = 2000  # at once, of all customers
 
 MISTAKES = (  # planted by name, in tests only
--- a/merlintally/cluster/work/state.py
+++ b/merlintally/cluster/work/state.py
@@ -13,9 +13,16 @@
 
 from merlintally.cluster.work.parts import Parts, Refused
 
-CALLED, GRANTED, OUT, RETURNING = "called", "granted", "out", "returning"
-OPEN, PAUSED, CANCELLED, FINISHED = "open", "paused", "cancelled", "finished"
-REMEMBERED, HISTORY = 1024, 200  # ids of entries, lines of history
+CALLED = "called"
+GRANTED = "granted"
+OUT = "out"
+RETURNING = "returning"
+OPEN = "open"
+PAUSED = "paused"
+CANCELLED = "cancelled"
+FINISHED = "finished"
+REMEMBERED = 1024  # ids of entries
+HISTORY = 200  # lines of history
 LIMIT = re.compile(r"([1-9][0-9]{0,5})(%?)")
 
 MISTAKES = (  # planted by name, in tests only
