--- a/merlintally/cluster/work/__init__.py
+++ b/merlintally/cluster/work/__init__.py
@@ -1,4 +1,7 @@
-"""The order of work: which machine is taken out next, without input or output: see docs/work-order.md."""
+"""Order of machine maintenance: which machine is taken out next, without input or output.
+
+See docs/work-order.md.
+"""
 
 from merlintally.cluster.work.coordinator import Coordinator, Report, Terms
 from merlintally.cluster.work.order import Choice, Seen, next_turn
--- a/merlintally/cluster/work/coordinator.py
+++ b/merlintally/cluster/work/coordinator.py
@@ -1,5 +1,10 @@
-"""What the leader does about turns: calls the next machine, grants once all have heard of it, and says that
-it is out only when nothing can reach it any more. Leads from reports; all that has to last is in the log."""
+"""The leader's control of turns.
+
+It calls the next machine, grants its turn once all nodes have applied the call, and declares the machine out
+once no node can send to it any more.
+
+The coordinator works from the nodes' reports. Everything that has to outlive it is in the replicated log.
+"""
 
 from __future__ import annotations
 
@@ -8,43 +13,56 @@
 from typing import Any, NamedTuple
 
 from merlintally.cluster.work.order import Choice, Seen, next_turn
-from merlintally.cluster.work.parts import Heard as Lender
-from merlintally.cluster.work.parts import next_words
+from merlintally.cluster.work.parts import NodeStatus, next_loan_entries
 from merlintally.cluster.work.state import CALLED, GRANTED, OUT, Machine, Turn, Work
 
 
 class Terms(NamedTuple):
-    """Times in seconds. A node's right to send lasts `lease_s` by its own clock, from when it asked; the
-    leader waits for `lease_s` and twice the share by which clocks may run unlike, from its last answer."""
+    """Times of leases and maintenance, in seconds.
+
+    A node's lease lasts `lease_s` by its own clock, from the moment when it sent the renewal. `drift` is the
+    largest share by which a clock may run fast or slow. `warm_s`: slow start of a returning machine's
+    servers. `longest_s`: the longest that an execution may take, which is the longest hard limit. `even`: a
+    node's even share of a ceiling in thousandths, 0 if no shares are lent.
+    """
 
     lease_s: float = 3.0
     renew_s: float = 0.5
     drift: float = 0.02
     warm_s: float = 15.0
-    longest_s: float = 6.0  # for which an execution may be out: the longest hard limit
-    even: int = 0  # a node's even part of a ceiling, in thousandths; 0: no parts are lent
+    longest_s: float = 6.0
+    even: int = 0
 
     @property
     def silent_s(self) -> float:
-        """After which a node that was answered, and not since, has nothing out any more by its right. Guards
-        against what was sent in the right's last moment and still runs: a schedule showed it."""
+        """Time after its last renewal when a node certainly has no lease and no execution in flight.
+
+        Includes the longest execution, as one may be sent in the last moment of the lease.
+        """
         return self.lease_s * (1 + self.drift) / (1 - self.drift) + self.longest_s
 
 
 class Report(NamedTuple):
-    """What a node tells with each renewal."""
+    """What a node reports with each renewal. On the wire it is an array: the order of fields matters.
+
+    `acts_on`: index of the last applied entry. `busy`: numbers of the turns with executions in flight from
+    this node to the machine's servers. `idle`: whether the node has answered all submissions that it
+    accepted. `off`: app servers of listed machines that discovery does not list as on. `rates`: executions
+    sent per second, by pool. `wants`: the thousandths that the node would draw of each customer who is at
+    the ceiling.
+    """
 
     start: int
-    acts_on: int  # the index of the last entry by which it acts
-    busy: tuple[int, ...] = ()  # numbers of turns to whose servers something is still out
-    idle: bool = False  # whether it has answered all that it took
-    off: tuple[str, ...] = ()  # servers on the list that its discovery does not list as on
-    rates: dict[str, float] = {}  # executions a second that it sends, by pool
-    wants: dict[str, int] = {}  # what it would draw of customers at a ceiling, in thousandths
+    acts_on: int
+    busy: tuple[int, ...] = ()
+    idle: bool = False
+    off: tuple[str, ...] = ()
+    rates: dict[str, float] = {}
+    wants: dict[str, int] = {}
 
 
 class Heard:
-    """What the leader last heard of a node."""
+    """A node's last report and when it was received."""
 
     __slots__ = ("report", "at")
 
@@ -53,36 +71,41 @@
 
 
 class Coordinator:
-    """One leader's time in office. It knows only what it has heard in it, and waits out the rest."""
+    """Control of turns during one term of leadership.
+
+    It uses only reports of its own term. Leases granted by earlier leaders are waited out.
+    """
 
-    def __init__(self, name: str, terms: Terms, now: float, mistakes: frozenset[str] = frozenset()) -> None:
-        self.name, self.terms, self.began, self.mistakes = name, terms, now, mistakes
-        self.heard: dict[str, Heard] = {}
-        self.since: dict[tuple[int, str], float] = {}  # turn and state -> when it was first seen so
+    def __init__(
+        self, name: str, timing: Terms, now: float, injected_faults: frozenset[str] = frozenset()
+    ) -> None:
+        self.name, self.timing, self.started_at, self.injected_faults = name, timing, now, injected_faults
+        self.heard: dict[str, Heard] = {}  # by node
+        self.entered_at: dict[tuple[int, str], float] = {}  # turn number and state -> when first observed
         self.choice = Choice()
-        self.waits: dict[str, str] = {}  # machine with a turn -> what it waits for
-        self.parked: set[str] = set()  # nodes whose own machine is out
-        self.blank: set[str] = set()  # nodes that have lost their logs, as they tell themselves
+        self.waits: dict[str, str] = {}  # machine with a turn -> what the turn waits for
+        self.nodes_out: set[str] = set()  # edge nodes of machines that are out
+        self.blank: set[str] = set()  # nodes that report that they have lost their log
 
     def renewed(self, now: float, node: str, report: Report) -> None:
-        """A node was answered. One that starts anew has none of what its former start had out."""
-        had = self.heard.get(node)
-        if had is None or report.start >= had.report.start:
+        """Record the report of a node whose lease is renewed; reports of its earlier starts are ignored."""
+        previous = self.heard.get(node)
+        if previous is None or report.start >= previous.report.start:
             self.heard[node] = Heard(report, now)
 
-    def silent(self, node: str, now: float) -> bool:
-        """Whether its right to send has run out for certain, even if another leader answered it last."""
-        if "a silent node is clear at once" in self.mistakes:
-            return node not in self.heard or now - self.heard[node].at > self.terms.renew_s
-        at = self.heard[node].at if node in self.heard else self.began
-        return now - max(at, self.began) > self.terms.silent_s
+    def lease_expired(self, node: str, now: float) -> bool:
+        """Whether the node's lease has expired for certain, even if an earlier leader renewed it last."""
+        if "a silent node is clear at once" in self.injected_faults:
+            return node not in self.heard or now - self.heard[node].at > self.timing.renew_s
+        renewed_at = self.heard[node].at if node in self.heard else self.started_at
+        return now - max(renewed_at, self.started_at) > self.timing.silent_s
 
     def step(self, now: float, work: Work, seen: Seen) -> tuple[list[tuple[Any, ...]], bool]:
-        """What to propose now, as verb and arguments, and whether leadership is to be handed on first."""
-        wanted: list[tuple[Any, ...]] = []
-        hand_on = False
+        """The entries to propose now, as verb and arguments, and whether to transfer leadership first."""
+        entries: list[tuple[Any, ...]] = []
+        transfer = False
         self.waits = {}
-        self.parked = {
+        self.nodes_out = {
             edge
             for turn in work.turns.values()
             if turn.state == OUT and turn.machine in work.machines
@@ -93,42 +116,49 @@
             if machine is None:
                 continue
             if turn.state == CALLED:
-                waits = self._unheard(now, work, turn, machine) or self._voteless(work, machine, seen)
+                waits = self._call_unconfirmed(now, work, turn, machine) or self._lacks_voters(
+                    work, machine, seen
+                )
                 if not waits and self.name in machine.edges:
-                    hand_on, waits = True, "leadership is handed on first"
-                if not waits or "a grant before the call is heard" in self.mistakes:
-                    wanted.append(("grant", turn.number, turn.machine))
+                    transfer, waits = True, "leadership is transferred first"
+                if not waits or "a grant before the call is heard" in self.injected_faults:
+                    entries.append(("grant", turn.number, turn.machine))
             elif turn.state == GRANTED:
-                waits = self._unclear(now, work, turn, machine)
-                if not waits or "out before all are clear" in self.mistakes:
-                    wanted.append(("out", turn.number, turn.machine))
+                waits = self._not_drained(now, work, turn, machine)
+                if not waits or "out before all are clear" in self.injected_faults:
+                    entries.append(("out", turn.number, turn.machine))
             elif turn.state == OUT:
-                waits = self._at_work(now, work, turn)
+                waits = self._in_maintenance(now, work, turn)
             else:
                 waits = self._not_back(now, work, turn, machine)
-                if not waits or "returning does not count" in self.mistakes:
-                    wanted.append(("back", turn.number, turn.machine))
+                if not waits or "returning does not count" in self.injected_faults:
+                    entries.append(("back", turn.number, turn.machine))
             self.waits[turn.machine] = waits
         self.choice = next_turn(work, seen)
         if self.choice.machine:
-            wanted.append(("call", work.number + 1, self.choice.machine, self.choice.request))
-        if self.terms.even:
-            wanted += next_words(work.parts, self._lenders(now, work), self.terms.even, self.mistakes)
-        held = {(turn.number, turn.state) for turn in work.turns.values()}
-        self.since = {key: at for key, at in self.since.items() if key in held}
-        return wanted, hand_on
-
-    def _lenders(self, now: float, work: Work) -> dict[str, Lender]:
-        """Nodes as the loans see them; also those of which this leader has not heard, which may have a lease
-        of the former one's."""
-        found = {
-            node: Lender(one.report.acts_on, self.silent(node, now), one.report.wants)
-            for node, one in self.heard.items()
+            entries.append(("call", work.number + 1, self.choice.machine, self.choice.request))
+        if self.timing.even:
+            entries += next_loan_entries(
+                work.parts, self._node_statuses(now, work), self.timing.even, self.injected_faults
+            )
+        current = {(turn.number, turn.state) for turn in work.turns.values()}
+        self.entered_at = {key: at for key, at in self.entered_at.items() if key in current}
+        return entries, transfer
+
+    def _node_statuses(self, now: float, work: Work) -> dict[str, NodeStatus]:
+        """The status of each node for loans.
+
+        Includes lenders and borrowers that have not reported to this leader: they may hold a lease of an
+        earlier one.
+        """
+        statuses = {
+            node: NodeStatus(last.report.acts_on, self.lease_expired(node, now), last.report.wants)
+            for node, last in self.heard.items()
         }
         for loan in work.parts.loans.values():
             for node in (loan.lender, loan.borrower):
-                found.setdefault(node, Lender(-1, self.silent(node, now), {}))
-        return found
+                statuses.setdefault(node, NodeStatus(-1, self.lease_expired(node, now), {}))
+        return statuses
 
     def overdue(self, now: float, work: Work) -> list[str]:
         """Machines that are out for longer than their request allows."""
@@ -136,97 +166,110 @@
             turn.machine
             for turn in work.turns.values()
             if turn.state == OUT
-            and 0 < work.requests[turn.request].limit_s < now - self.since.get((turn.number, OUT), now)
+            and 0 < work.requests[turn.request].limit_s < now - self.entered_at.get((turn.number, OUT), now)
         ]
 
     def _nodes(self, work: Work) -> Iterable[str]:
         return sorted(work.edges() | set(self.heard))
 
-    def _gone(self, work: Work, node: str, machine: Machine) -> bool:
-        """Whether a node sends nothing to the machine: a person says that it is no more, or its own machine
-        is out. Then it has nothing out, and takes nothing before it has heard that its turn is over, and so
-        of all that was agreed before. Guards against turns that wait for a node which is switched off: work
-        on 50 machines took 1.28 of the least possible time."""
-        heard = self.heard.get(node)
-        if node in self.parked and not machine.refuge:
+    def _cannot_send(self, work: Work, node: str, machine: Machine) -> bool:
+        """Whether a node certainly sends nothing to the machine, without a report from it.
+
+        Either an operator has declared its start gone, or its own machine is out: then it has nothing in
+        flight, and accepts nothing until it has applied the end of its turn and so all earlier entries.
+        Otherwise every turn would wait for nodes that are switched off.
+        """
+        last = self.heard.get(node)
+        if node in self.nodes_out and not machine.refuge:
             return True
-        return node in work.gone and (heard is None or heard.report.start <= work.gone[node])
+        return node in work.gone and (last is None or last.report.start <= work.gone[node])
+
+    def _call_unconfirmed(self, now: float, work: Work, turn: Turn, machine: Machine) -> str:
+        """Which node may be alive without having applied the call, or "".
 
-    def _unheard(self, now: float, work: Work, turn: Turn, machine: Machine) -> str:
-        """Who may be alive and does not know yet that the machine is called: it would send there for ever."""
-        refuge, listed = any(one.refuge for one in work.machines.values()), work.edges()
+        Such a node would go on sending to the machine, with or without a lease.
+        """
+        has_refuge, listed = any(other.refuge for other in work.machines.values()), work.edges()
         for node in self._nodes(work):
-            heard = self.heard.get(node)
+            last = self.heard.get(node)
             if (
-                heard is not None
-                and heard.report.acts_on >= turn.called_at
-                or self._gone(work, node, machine)
+                last is not None
+                and last.report.acts_on >= turn.called_at
+                or self._cannot_send(work, node, machine)
             ):
                 continue
-            if heard is not None and node not in listed and heard.report.acts_on >= work.listed_at:
-                continue  # it knows that it is not on the list, and sends nothing
-            if refuge and not machine.refuge and self.silent(node, now):
-                continue
-            return f"{node} has not heard of the call"
+            if last is not None and node not in listed and last.report.acts_on >= work.listed_at:
+                continue  # an unlisted node that has applied the list sends nothing
+            if has_refuge and not machine.refuge and self.lease_expired(node, now):
+                continue  # without a lease it sends to machines of the refuge only
+            return f"{node} has not applied the call"
         return ""
 
-    def _voteless(self, work: Work, machine: Machine, seen: Seen) -> str:
-        """A voter that was lost since the call counts, too."""
-        if not seen.voters & set(machine.edges) or "voters are not counted" in self.mistakes:
+    def _lacks_voters(self, work: Work, machine: Machine, seen: Seen) -> str:
+        """Why too few voters would be left, or "". Voters that were lost since the call count as absent."""
+        if not seen.voters & set(machine.edges) or "voters are not counted" in self.injected_faults:
             return ""
         return work.too_few_voters(work.beyond_call() | seen.lost | {machine.name}, seen.voters, seen.blank)
 
-    def _unclear(self, now: float, work: Work, turn: Turn, machine: Machine) -> str:
-        """Who may still send to the machine, or has not answered what it took."""
+    def _not_drained(self, now: float, work: Work, turn: Turn, machine: Machine) -> str:
+        """Which node may still send to the machine or wait for its answers, or ""."""
         for node in self._nodes(work):
-            heard = self.heard.get(node)
-            if self._gone(work, node, machine) or self.silent(node, now):
+            last = self.heard.get(node)
+            if self._cannot_send(work, node, machine) or self.lease_expired(node, now):
                 continue
-            if heard is None:
-                return f"{node} is not heard of"
-            if heard.report.acts_on < turn.changed_at:
-                return f"{node} has not heard of the grant"
-            if turn.number in heard.report.busy:
-                return f"{node} still waits for answers of it"
-            if node in machine.edges and not heard.report.idle:
-                return f"{node} has not answered all it took"
+            if last is None:
+                return f"{node} has not reported"
+            if last.report.acts_on < turn.changed_at:
+                return f"{node} has not applied the grant"
+            if turn.number in last.report.busy:
+                return f"{node} still waits for answers from the machine"
+            if node in machine.edges and not last.report.idle:
+                return f"{node} has not answered all that it accepted"
         return ""
 
-    def _at_work(self, now: float, work: Work, turn: Turn) -> str:
-        out = now - self.since.setdefault((turn.number, turn.state), now)
-        limit = work.requests[turn.request].limit_s
-        if 0 < limit < out:
-            return f"overdue: out for {out:.0f} s of {limit:.0f}"
+    def _in_maintenance(self, now: float, work: Work, turn: Turn) -> str:
+        out_s = now - self.entered_at.setdefault((turn.number, turn.state), now)
+        max_out_s = work.requests[turn.request].limit_s
+        if 0 < max_out_s < out_s:
+            return f"overdue: out for {out_s:.0f} s of {max_out_s:.0f}"
         return "work done"
 
     def _not_back(self, now: float, work: Work, turn: Turn, machine: Machine) -> str:
-        """Out until it is proven back: heard, caught up, listed by a majority, and warm."""
+        """Why a returning machine still counts as out, or "".
+
+        It is back once its nodes report and have caught up, a majority lists its servers, and the servers
+        have been listed for the slow start's time.
+        """
         for node in machine.edges:
-            heard = self.heard.get(node)
-            if heard is None or now - heard.at > 3 * self.terms.renew_s:
-                return f"{node} is not heard of"
-            if heard.report.acts_on < turn.changed_at:
+            last = self.heard.get(node)
+            if last is None or now - last.at > 3 * self.timing.renew_s:
+                return f"{node} has not reported"
+            if last.report.acts_on < turn.changed_at:
                 return f"{node} has not caught up"
-        live = [one.report for one in self.heard.values() if now - one.at <= 3 * self.terms.renew_s]
-        off = Counter(server for report in live for server in report.off)
+        recent = [
+            latest.report for latest in self.heard.values() if now - latest.at <= 3 * self.timing.renew_s
+        ]
+        unlisted = Counter(server for report in recent for server in report.off)
         for server in machine.servers:
-            if 2 * off[server] >= len(live):
-                self.since.pop((turn.number, turn.state), None)
+            if 2 * unlisted[server] >= len(recent):
+                self.entered_at.pop((turn.number, turn.state), None)
                 return f"{server} is not listed by a majority"
-        warm = now - self.since.setdefault((turn.number, turn.state), now)
-        if machine.servers and warm < self.terms.warm_s:
-            return f"warm in {self.terms.warm_s - warm:.0f} s"
+        listed_s = now - self.entered_at.setdefault((turn.number, turn.state), now)
+        if machine.servers and listed_s < self.timing.warm_s:
+            return f"warm in {self.timing.warm_s - listed_s:.0f} s"
         return ""
 
 
 def lost(work: Work, dead: Iterable[str], reports: Iterable[Report]) -> frozenset[str]:
-    """Machines without a turn that are out all the same: one of their nodes is dead, or a server is listed by
-    no majority."""
-    live = list(reports)
-    off, down = Counter(server for report in live for server in report.off), set(dead)
+    """Machines that are out without a turn: one of their nodes is dead, or a majority misses a server."""
+    recent = list(reports)
+    unlisted, dead_nodes = Counter(server for report in recent for server in report.off), set(dead)
     return frozenset(
-        one.name
-        for one in work.machines.values()
-        if one.name not in work.turns
-        and (down & set(one.edges) or any(2 * off[server] > len(live) > 0 for server in one.servers))
+        machine.name
+        for machine in work.machines.values()
+        if machine.name not in work.turns
+        and (
+            dead_nodes & set(machine.edges)
+            or any(2 * unlisted[server] > len(recent) > 0 for server in machine.servers)
+        )
     )
--- a/merlintally/cluster/work/order.py
+++ b/merlintally/cluster/work/order.py
@@ -1,4 +1,4 @@
-"""Who is next: a decision by what is agreed and what is seen, and for all others why not now."""
+"""Selection of the next machine to take out, with the reason for each machine that has to wait."""
 
 from __future__ import annotations
 
@@ -8,39 +8,47 @@
 
 from merlintally.cluster.work.state import OPEN, PAUSED, Machine, Request, Work
 
-ROOM = 0.8  # of what the machines left in a pool bear, beyond which none more is taken out
+MAX_LOAD_SHARE = 0.8  # of the capacity left in a pool
 
 
 @dataclass(slots=True)
 class Seen:
-    """What the leader sees of the fleet now."""
+    """The leader's current view of the fleet.
 
-    lost: frozenset[str] = frozenset()  # machines that are out with no turn: dead, or flapping
-    rates: dict[str, float] = field(default_factory=dict)  # executions a second, by pool
-    voters: frozenset[str] = frozenset()  # names of edge nodes
+    `lost`: machines that are out without a turn, as their nodes are dead or flapping. `rates`: executions per
+    second, by pool. `voters`: names of edge nodes. `blank`: voters that have lost their log.
+    """
+
+    lost: frozenset[str] = frozenset()
+    rates: dict[str, float] = field(default_factory=dict)
+    voters: frozenset[str] = frozenset()
     leader: str = ""
-    blank: frozenset[str] = frozenset()  # voters that have lost their logs
+    blank: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True)
 class Choice:
-    """`machine` is next in `request`, or nobody ("")."""
+    """The next machine and its request, "" if there is none; `why` has the reason for each other one."""
 
     machine: str = ""
     request: str = ""
-    why: dict[str, str] = field(default_factory=dict)  # machine that waits -> why not now
+    why: dict[str, str] = field(default_factory=dict)
 
 
 def next_turn(work: Work, seen: Seen) -> Choice:
-    """One machine at a time is called. Dead ones go first, for taking them out loses nothing more; then those
-    in the zone where work is, then by request and place in it; whoever leads goes last."""
-    choice, fit = Choice(), list[tuple[tuple[object, ...], str, str]]()
+    """Select the machine to call next among those of all open requests.
+
+    Lost machines come first, as taking them out loses no further capacity. Then come machines of the zone
+    that has turns already, then the order of the requests and the order within each. The leader's own
+    machine comes after others of its zone.
+    """
+    choice, candidates = Choice(), list[tuple[tuple[object, ...], str, str]]()
     sizes = work.sizes()
     zones = {work.machines[name].zone for name in work.turns if name in work.machines}
-    for at, request in enumerate(work.requests.values()):
+    for request_position, request in enumerate(work.requests.values()):
         if request.state not in (OPEN, PAUSED):
             continue
-        for place, name in enumerate(request.machines):
+        for machine_position, name in enumerate(request.machines):
             machine = work.machines.get(name)
             if machine is None or name in request.done or name in work.turns:
                 continue
@@ -53,21 +61,22 @@
                     name not in seen.lost,
                     machine.zone not in zones,
                     seen.leader in machine.edges,
-                    at,
-                    place,
+                    request_position,
+                    machine_position,
                 )
-                fit.append((key, name, request.id))
-    if fit:
-        _, choice.machine, choice.request = min(fit)
-        for _, name, _ in fit:
+                candidates.append((key, name, request.id))
+    if candidates:
+        _, choice.machine, choice.request = min(candidates)
+        for _, name, _ in candidates:
             if name != choice.machine:
-                choice.why[name] = f"{choice.machine} is before it"
+                choice.why[name] = f"{choice.machine} goes first"
     return choice
 
 
 def _why_not(
     work: Work, seen: Seen, machine: Machine, request: Request, sizes: Counter[tuple[str, str]]
 ) -> str:
+    """Why the machine can't be called now, or ""."""
     for budget in work.budgets(request):
         if why := work.over_budget(machine, budget, seen.lost, sizes=sizes):
             return why
@@ -78,12 +87,14 @@
 
 
 def _too_busy(work: Work, seen: Seen, machine: Machine, out: Iterable[str]) -> str:
-    """Never below what the traffic of now needs. A machine on its way back bears nothing yet."""
-    rate, gone = seen.rates.get(machine.pool, 0.0), set(out)
-    rows = [one for one in work.machines.values() if one.pool == machine.pool and one.bears > 0]
-    if machine.bears <= 0 or machine.name in seen.lost or not rows:
+    """Why the pool would lack capacity without the machine, or "". Returning machines count as out."""
+    rate, absent = seen.rates.get(machine.pool, 0.0), set(out)
+    with_capacity = [
+        other for other in work.machines.values() if other.pool == machine.pool and other.bears > 0
+    ]
+    if machine.bears <= 0 or machine.name in seen.lost or not with_capacity:
         return ""
-    left = sum(one.bears for one in rows if one.name not in gone)
-    if rate > ROOM * left:
-        return f"pool {machine.pool} has {rate:.0f} a second, and those left bear {left:.0f}"
+    capacity = sum(other.bears for other in with_capacity if other.name not in absent)
+    if rate > MAX_LOAD_SHARE * capacity:
+        return f"pool {machine.pool} runs {rate:.0f} executions/s; machines left can serve {capacity:.0f}"
     return ""
--- a/merlintally/cluster/work/parts.py
+++ b/merlintally/cluster/work/parts.py
@@ -1,8 +1,8 @@
-"""Parts of ceilings that nodes lend each other, without input or output: what is agreed, what a node may draw
-by it, and what the leader does next. Shares are thousandths of a customer's ceiling.
+"""Loans of ceiling shares between nodes, without input or output.
 
-Each node has an even part. One that needs less does without some of it, one that needs more may draw that
-under a lease; the sum never passes the ceiling, whoever is cut off.
+Shares are thousandths of a customer's ceiling. Each node has an even share of each ceiling. A node that needs
+less lends some of it; the borrower may draw the loan only under a valid lease. The shares that all nodes may
+draw never sum to more than the ceiling, even while nodes are cut off from each other.
 """
 
 from __future__ import annotations
@@ -12,13 +12,14 @@
 
 from msgspec import Struct, field
 
-WHOLE = 1000
+WHOLE = 1000  # thousandths of a ceiling
+# States of a loan.
 ASKED = "asked"
 LENT = "lent"
 RECALLED = "recalled"
-MOST_LOANS = 2000  # at once, of all customers
+MAX_LOANS = 2000  # at once, of all customers
 
-MISTAKES = (  # planted by name, in tests only
+MISTAKES = (  # faults that tests inject by name
     "lent before the lender has heard",
     "drawn after the lease",
     "given back before the borrower has ended",
@@ -29,8 +30,10 @@
 
 
 class Loan(Struct):
-    """`share` of a customer's ceiling that `lender` does without and `borrower` may draw under its lease.
-    `changed_at` is the index of the entry that brought its state about."""
+    """`share` thousandths of a customer's ceiling that `lender` does not draw and `borrower` may draw.
+
+    `changed_at` is the index of the entry that set the state.
+    """
 
     number: int
     customer: str
@@ -42,159 +45,198 @@
 
 
 class Refused(Exception):
-    """An entry does not fit what is agreed by now; the text says why."""
+    """An entry does not fit the current state; the text is the reason.
+
+    The reason is stored in the replicated state, so it has to be the same text on every node.
+    """
 
 
-class Parts(Struct):
-    """All loans, by number. Changed by entries alone."""
+class LoanTable(Struct):
+    """All current loans, by number. Changed by log entries only."""
 
     loans: dict[int, Loan] = field(default_factory=dict)
-    number: int = 0  # of the last one: it only rises
+    number: int = 0  # of the last loan; never decreases
 
-    def verbs(self) -> dict[str, Callable[..., str]]:
+    def handlers(self) -> dict[str, Callable[..., str]]:
+        """Handlers of the entries about loans, by verb; each raises Refused if the entry does not fit."""
         return {"lend": self._lend, "lent": self._lent, "recall": self._recall, "ended": self._ended}
 
-    def of(self, customer: str) -> list[Loan]:
-        return [one for one in self.loans.values() if one.customer == customer]
+    def of_customer(self, customer: str) -> list[Loan]:
+        return [loan for loan in self.loans.values() if loan.customer == customer]
 
-    def own(self, customer: str, node: str, even: int) -> int:
-        """What is left of a node's even part when all that it lends is taken off."""
-        return even - sum(one.share for one in self.of(customer) if one.lender == node)
+    def own_share(self, customer: str, node: str, even_share: int) -> int:
+        """What is left of a node's even share after all that it lends."""
+        return even_share - sum(loan.share for loan in self.of_customer(customer) if loan.lender == node)
 
     def _lend(
         self,
         index: int,
-        mistakes: frozenset[str],
+        injected_faults: frozenset[str],
         number: int,
         customer: str,
         lender: str,
         borrower: str,
         share: int,
-        even: int,
+        even_share: int,
     ) -> str:
         if number != self.number + 1:
             raise Refused(f"loan {number} does not follow {self.number}")
-        if lender == borrower or not 0 < share <= even <= WHOLE or len(self.loans) >= MOST_LOANS:
-            raise Refused(f"{customer}: {share} of {even} from {lender} to {borrower} can't be lent")
-        if share > self.own(customer, lender, even) and "more is lent than there is" not in mistakes:
-            raise Refused(f"{customer}: {lender} has {self.own(customer, lender, even)} left, not {share}")
+        if lender == borrower or not 0 < share <= even_share <= WHOLE or len(self.loans) >= MAX_LOANS:
+            raise Refused(f"{customer}: {share} of {even_share} from {lender} to {borrower} can't be lent")
+        if (
+            share > self.own_share(customer, lender, even_share)
+            and "more is lent than there is" not in injected_faults
+        ):
+            raise Refused(
+                f"{customer}: {lender} has {self.own_share(customer, lender, even_share)} left, not {share}"
+            )
         self.number = number
         self.loans[number] = Loan(number, customer, lender, borrower, share, ASKED, index)
         return f"loan {number}: {lender} is to do without {share} of {customer} for {borrower}"
 
-    def _move(
-        self, index: int, mistakes: frozenset[str], number: int, before: Iterable[str], state: str
+    def _set_state(
+        self, index: int, injected_faults: frozenset[str], number: int, expected: Iterable[str], state: str
     ) -> str:
+        """Set the state of a loan, which must be in one of the `expected` states."""
         loan = self.loans.get(number)
         if loan is None:
             raise Refused(f"loan {number} is over, or never was")
-        if loan.state not in before and "an old word about a loan counts" not in mistakes:
+        if loan.state not in expected and "an old word about a loan counts" not in injected_faults:
             raise Refused(f"loan {number} is {loan.state}")
         loan.state, loan.changed_at = state, index
         return f"loan {number} is {state}"
 
-    def _lent(self, index: int, mistakes: frozenset[str], number: int) -> str:
-        return self._move(index, mistakes, number, (ASKED,), LENT)
+    def _lent(self, index: int, injected_faults: frozenset[str], number: int) -> str:
+        return self._set_state(index, injected_faults, number, (ASKED,), LENT)
 
-    def _recall(self, index: int, mistakes: frozenset[str], number: int) -> str:
-        return self._move(index, mistakes, number, (ASKED, LENT), RECALLED)
+    def _recall(self, index: int, injected_faults: frozenset[str], number: int) -> str:
+        return self._set_state(index, injected_faults, number, (ASKED, LENT), RECALLED)
 
-    def _ended(self, index: int, mistakes: frozenset[str], number: int) -> str:
-        self._move(index, mistakes, number, (RECALLED,), RECALLED)
+    def _ended(self, index: int, injected_faults: frozenset[str], number: int) -> str:
+        self._set_state(index, injected_faults, number, (RECALLED,), RECALLED)
         del self.loans[number]
         return f"loan {number} is over"
 
 
 def share_of(
-    parts: Parts,
+    table: LoanTable,
     customer: str,
     node: str,
-    even: int,
+    even_share: int,
     leased: bool,
     caught_up: bool,
-    mistakes: frozenset[str] = frozenset(),
+    injected_faults: frozenset[str] = frozenset(),
 ) -> int:
-    """What a node may draw of a customer's ceiling now, in thousandths: what it lends is gone until it hears
-    that it is back, what it borrows lasts as long as its lease. One that starts anew draws nothing before it
-    has heard what it lent."""
+    """The thousandths of a customer's ceiling that a node may draw now.
+
+    A loan counts against its lender until the lender has applied its end, and for the borrower only while
+    its lease is valid. A restarted node draws nothing until it has caught up and has applied what it lent.
+    """
     if not caught_up:
-        return even if "a restart forgets what it lent" in mistakes else 0
-    borrowed = sum(one.share for one in parts.of(customer) if one.borrower == node and one.state == LENT)
-    if not leased and "drawn after the lease" not in mistakes:
+        return even_share if "a restart forgets what it lent" in injected_faults else 0
+    borrowed = sum(
+        loan.share for loan in table.of_customer(customer) if loan.borrower == node and loan.state == LENT
+    )
+    if not leased and "drawn after the lease" not in injected_faults:
         borrowed = 0
-    return max(0, parts.own(customer, node, even)) + borrowed
+    return max(0, table.own_share(customer, node, even_share)) + borrowed
+
 
+class NodeStatus(Struct):
+    """What the leader knows of a node.
 
-class Heard(Struct):
-    """What the leader knows of a node: by which entry it acts, whether its lease is over for certain, and
-    what it would draw of each customer at a ceiling (thousandths)."""
+    `acts_on`: index of the last entry that the node has applied. `silent`: whether its lease has expired for
+    certain. `wants`: the thousandths that it would draw of each customer who is at the ceiling.
+    """
 
     acts_on: int
     silent: bool
     wants: Mapping[str, int]
 
 
-def next_words(
-    parts: Parts, heard: Mapping[str, Heard], even: int, mistakes: frozenset[str] = frozenset()
+def next_loan_entries(
+    table: LoanTable,
+    nodes: Mapping[str, NodeStatus],
+    even_share: int,
+    injected_faults: frozenset[str] = frozenset(),
 ) -> list[tuple[Any, ...]]:
-    """What the leader proposes now. A loan is lent once its lender has heard that it does without; it ends
-    once its borrower has heard that it is called back, or has no lease any more for certain."""
-    wanted: list[tuple[Any, ...]] = []
-    for loan in parts.loans.values():
-        lender, borrower = heard.get(loan.lender), heard.get(loan.borrower)
+    """The entries about loans that the leader should propose now, as verb and arguments.
+
+    A loan becomes usable once its lender has applied it. It ends once its borrower has applied the recall, or
+    has no lease for certain. A new loan is made only while no other waits for its lender.
+    """
+    entries: list[tuple[Any, ...]] = []
+    for loan in table.loans.values():
+        lender, borrower = nodes.get(loan.lender), nodes.get(loan.borrower)
         if loan.state == RECALLED:
-            over = borrower is not None and (borrower.silent or borrower.acts_on >= loan.changed_at)
-            if over or "given back before the borrower has ended" in mistakes:
-                wanted.append(("ended", loan.number))
-        elif _useless(parts, loan, lender, borrower, even):
-            wanted.append(("recall", loan.number))
+            returned = borrower is not None and (borrower.silent or borrower.acts_on >= loan.changed_at)
+            if returned or "given back before the borrower has ended" in injected_faults:
+                entries.append(("ended", loan.number))
+        elif _should_recall(table, loan, lender, borrower, even_share):
+            entries.append(("recall", loan.number))
         elif loan.state == ASKED and (
             lender is not None
             and lender.acts_on >= loan.changed_at
-            or "lent before the lender has heard" in mistakes
+            or "lent before the lender has heard" in injected_faults
         ):
-            wanted.append(("lent", loan.number))
-    if not any(one.state == ASKED for one in parts.loans.values()) and (loan_ := _next(parts, heard, even)):
-        wanted.append(("lend", parts.number + 1, *loan_, even))
-    return wanted
+            entries.append(("lent", loan.number))
+    if not any(other.state == ASKED for other in table.loans.values()) and (
+        new_loan := _next_loan(table, nodes, even_share)
+    ):
+        entries.append(("lend", table.number + 1, *new_loan, even_share))
+    return entries
+
 
+def _should_recall(
+    table: LoanTable, loan: Loan, lender: NodeStatus | None, borrower: NodeStatus | None, even_share: int
+) -> bool:
+    """Whether the borrower is silent or needs the loan no longer, or the lender needs its share itself.
 
-def _useless(parts: Parts, loan: Loan, lender: Heard | None, borrower: Heard | None, even: int) -> bool:
-    """Whether the borrower is gone or draws little, or the lender needs its part itself."""
+    The borrower needs the loan no longer once its surplus is at least twice the loan.
+    """
     if borrower is None or borrower.silent:
         return True
-    has = parts.own(loan.customer, loan.borrower, even) + sum(
-        one.share for one in parts.of(loan.customer) if one.borrower == loan.borrower
+    borrower_share = table.own_share(loan.customer, loan.borrower, even_share) + sum(
+        other.share for other in table.of_customer(loan.customer) if other.borrower == loan.borrower
     )
-    if borrower.wants.get(loan.customer, 0) <= has - 2 * loan.share:
+    if borrower.wants.get(loan.customer, 0) <= borrower_share - 2 * loan.share:
         return True
-    own = parts.own(loan.customer, loan.lender, even)
-    return lender is not None and not lender.silent and lender.wants.get(loan.customer, 0) > own + loan.share
+    lender_share = table.own_share(loan.customer, loan.lender, even_share)
+    return (
+        lender is not None
+        and not lender.silent
+        and lender.wants.get(loan.customer, 0) > lender_share + loan.share
+    )
+
 
+def _next_loan(
+    table: LoanTable, nodes: Mapping[str, NodeStatus], even_share: int
+) -> tuple[str, str, str, int] | None:
+    """Customer, lender, borrower and share of the next loan, or None.
 
-def _next(parts: Parts, heard: Mapping[str, Heard], even: int) -> tuple[str, str, str, int] | None:
-    """Customer, lender, borrower and share of the next loan: to whoever lacks most, half of what the one who
-    needs least has over, so that neither is emptied by one word."""
-    lacks: list[tuple[int, str, str]] = []
-    for node, one in heard.items():
-        if one.silent:
+    The borrower is the node with the largest deficit, the lender the one with the largest surplus. It lends
+    at most half of its surplus at a time, so that one loan does not leave it without any.
+    """
+    deficits: list[tuple[int, str, str]] = []
+    for node, status in nodes.items():
+        if status.silent:
             continue
-        for customer, want in one.wants.items():
-            has = parts.own(customer, node, even) + sum(
-                loan.share for loan in parts.of(customer) if loan.borrower == node
+        for customer, demand in status.wants.items():
+            drawable = table.own_share(customer, node, even_share) + sum(
+                loan.share for loan in table.of_customer(customer) if loan.borrower == node
             )
-            if want > has:
-                lacks.append((want - has, customer, node))
-    for lack, customer, borrower in sorted(lacks, key=lambda row: (-row[0], row[1], row[2])):
-        over = [
-            (parts.own(customer, node, even) - one.wants.get(customer, 0), node)
-            for node, one in heard.items()
-            if node != borrower and not one.silent and not _borrows(parts, customer, node)
+            if demand > drawable:
+                deficits.append((demand - drawable, customer, node))
+    for deficit, customer, borrower in sorted(deficits, key=lambda row: (-row[0], row[1], row[2])):
+        surpluses = [
+            (table.own_share(customer, node, even_share) - status.wants.get(customer, 0), node)
+            for node, status in nodes.items()
+            if node != borrower and not status.silent and not _borrows(table, customer, node)
         ]
-        if over and (best := max(over))[0] > 1:
-            return customer, best[1], borrower, max(1, min(lack, best[0] // 2))
+        if surpluses and (largest := max(surpluses))[0] > 1:
+            return customer, largest[1], borrower, max(1, min(deficit, largest[0] // 2))
     return None
 
 
-def _borrows(parts: Parts, customer: str, node: str) -> bool:
-    return any(one.borrower == node for one in parts.of(customer))
+def _borrows(table: LoanTable, customer: str, node: str) -> bool:
+    return any(loan.borrower == node for loan in table.of_customer(customer))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,7 +6,14 @@
 
 import pytest
 
-from merlintally.cluster.work.parts import MISTAKES, Heard, Parts, Refused, next_words, share_of
+from merlintally.cluster.work.parts import (
+    MISTAKES,
+    LoanTable,
+    NodeStatus,
+    Refused,
+    next_loan_entries,
+    share_of,
+)
 from merlintally.cluster.work.state import Work, entry, work_of
 from merlintally.lab.schedules.parts import play
 
@@ -14,18 +21,18 @@
 NONE = frozenset[str]()
 
 
-def agreed(*words: tuple[Any, ...]) -> Parts:
+def agreed(*words: tuple[Any, ...]) -> LoanTable:
     """What is agreed after `words`, each of which has to be taken."""
-    parts = Parts()
+    parts = LoanTable()
     for index, (verb, *args) in enumerate(words, 1):
-        parts.verbs()[verb](index, NONE, *args)
+        parts.handlers()[verb](index, NONE, *args)
     return parts
 
 
 LEND = ("lend", 1, "c", "a", "b", 100, EVEN)
 
 
-def shares(parts: Parts, leased: bool = True) -> tuple[int, int]:
+def shares(parts: LoanTable, leased: bool = True) -> tuple[int, int]:
     """What a and b may draw."""
     a, b = (share_of(parts, "c", node, EVEN, leased, True) for node in "ab")
     return a, b
@@ -60,38 +67,46 @@
 def test_words_that_do_not_fit_are_refused(word: tuple[Any, ...], why: str) -> None:
     parts = agreed(LEND, ("lent", 1))
     with pytest.raises(Refused, match=why):
-        parts.verbs()[word[0]](9, NONE, *word[1:])
+        parts.handlers()[word[0]](9, NONE, *word[1:])
     assert shares(parts) == (150, 350)
 
 
-def heard(**acts_on: int) -> dict[str, Heard]:
+def heard(**acts_on: int) -> dict[str, NodeStatus]:
     """b needs much, a nothing, c its even part."""
     wants = {"a": {}, "b": {"c": 700}, "c": {"c": EVEN}}
-    return {node: Heard(at, False, wants[node]) for node, at in acts_on.items()}
+    return {node: NodeStatus(at, False, wants[node]) for node, at in acts_on.items()}
 
 
 def test_a_loan_goes_from_who_has_most_over_to_who_lacks_most() -> None:
-    assert next_words(Parts(), heard(a=1, b=1, c=1), EVEN) == [("lend", 1, "c", "a", "b", 125, EVEN)]
-    assert next_words(Parts(), heard(b=1, c=1), EVEN) == []  # nobody has anything over
+    assert next_loan_entries(LoanTable(), heard(a=1, b=1, c=1), EVEN) == [
+        ("lend", 1, "c", "a", "b", 125, EVEN)
+    ]
+    assert next_loan_entries(LoanTable(), heard(b=1, c=1), EVEN) == []  # nobody has anything over
 
 
 def test_it_is_lent_once_the_lender_has_heard_and_over_once_the_borrower_has() -> None:
     parts = agreed(LEND)  # by entry 1
-    assert next_words(parts, heard(a=0, b=9), EVEN) == []
-    assert ("lent", 1) in next_words(parts, heard(a=1, b=0), EVEN)
+    assert next_loan_entries(parts, heard(a=0, b=9), EVEN) == []
+    assert ("lent", 1) in next_loan_entries(parts, heard(a=1, b=0), EVEN)
     parts = agreed(LEND, ("lent", 1), ("recall", 1))  # by entry 3
-    assert ("ended", 1) not in next_words(parts, heard(a=9, b=2), EVEN)
-    assert ("ended", 1) in next_words(parts, heard(a=9, b=3), EVEN)
-    silent = heard(a=9) | {"b": Heard(-1, True, {})}
-    assert ("ended", 1) in next_words(parts, silent, EVEN)
-    assert ("ended", 1) not in next_words(parts, heard(a=9), EVEN)  # nobody has heard of b, and it may draw
+    assert ("ended", 1) not in next_loan_entries(parts, heard(a=9, b=2), EVEN)
+    assert ("ended", 1) in next_loan_entries(parts, heard(a=9, b=3), EVEN)
+    silent = heard(a=9) | {"b": NodeStatus(-1, True, {})}
+    assert ("ended", 1) in next_loan_entries(parts, silent, EVEN)
+    assert ("ended", 1) not in next_loan_entries(
+        parts, heard(a=9), EVEN
+    )  # nobody has heard of b, and it may draw
 
 
 def test_it_is_called_back_from_one_that_is_gone_or_for_a_lender_who_needs_it() -> None:
     parts = agreed(LEND, ("lent", 1))
-    assert ("recall", 1) not in next_words(parts, heard(a=9, b=9), EVEN)
-    assert ("recall", 1) in next_words(parts, heard(a=9) | {"b": Heard(9, True, {"c": 700})}, EVEN)
-    assert ("recall", 1) in next_words(parts, heard(b=9) | {"a": Heard(9, False, {"c": 300})}, EVEN)
+    assert ("recall", 1) not in next_loan_entries(parts, heard(a=9, b=9), EVEN)
+    assert ("recall", 1) in next_loan_entries(
+        parts, heard(a=9) | {"b": NodeStatus(9, True, {"c": 700})}, EVEN
+    )
+    assert ("recall", 1) in next_loan_entries(
+        parts, heard(b=9) | {"a": NodeStatus(9, False, {"c": 300})}, EVEN
+    )
 
 
 def test_loans_are_part_of_what_is_agreed_and_of_its_form() -> None:
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -172,7 +172,10 @@
     work = agreed(count=6, bears=10.0)
     assert next_turn(work, Seen(rates={"p0": 15.0, "p1": 5.0})).machine == "m0"
     choice = next_turn(work, Seen(rates={"p0": 17.0, "p1": 17.0}))
-    assert choice.machine == "" and choice.why["m0"] == "pool p0 has 17 a second, and those left bear 20"
+    assert (
+        choice.machine == ""
+        and choice.why["m0"] == "pool p0 runs 17 executions/s; machines left can serve 20"
+    )
 
 
 def test_a_paused_request_says_so_and_what_is_out_stays_out() -> None:
@@ -213,7 +216,7 @@
     work = agreed(("call", 1, "m0", "r1"))
     led = office(work, *ALL[:4], "n5")
     assert ("grant", 1, "m0") not in led.step(101.0, work, Seen())[0]
-    assert led.waits["m0"] == "n4 has not heard of the call"
+    assert led.waits["m0"] == "n4 has not applied the call"
     assert ("grant", 1, "m0") not in led.step(999.0, work, Seen())[0]  # silence alone is no proof
     work.take(9, entry("g", "gone", "n4", 1, "ann", "it burnt"))
     assert ("grant", 1, "m0") in led.step(101.0, work, Seen())[0]
@@ -228,9 +231,9 @@
         seen.append(led.waits["m0"])
         led.renewed(101.0, node, Report(1, 4, idle=True))
     assert seen == [
-        "n0 has not answered all it took",
-        "n1 still waits for answers of it",
-        "n2 has not heard of the grant",
+        "n0 has not answered all that it accepted",
+        "n1 still waits for answers from the machine",
+        "n2 has not applied the grant",
     ]
     assert ("out", 1, "m0") in led.step(101.0, work, Seen())[0]
     silent = office(work, "n0", n0=Report(1, 4, idle=True))  # a new leader, who has heard of no other
@@ -245,7 +248,7 @@
     assert ("grant", 2, "m3") in led.step(101.0, work, Seen())[0]
     work.take(9, entry("d", "done", "m0", "ann"))
     assert ("grant", 2, "m3") not in led.step(101.0, work, Seen())[0]
-    assert led.waits["m3"] == "n0 has not heard of the call"
+    assert led.waits["m3"] == "n0 has not applied the call"
 
 
 def test_the_leader_hands_on_before_its_own_turn() -> None:
