--- a/merlintally/cluster/copies/__init__.py
+++ b/merlintally/cluster/copies/__init__.py
@@ -1,4 +1,4 @@
-"""State that matters, in copies among the edge nodes, without input or output: see docs/copies.md."""
+"""Replicated rows of state on the edge nodes, without input or output: see docs/copies.md."""
 
 from merlintally.cluster.copies.holders import holders_of, shard_of
 from merlintally.cluster.copies.spread import FORMS, Copies, Terms
--- a/merlintally/cluster/copies/holders.py
+++ b/merlintally/cluster/copies/holders.py
@@ -1,4 +1,4 @@
-"""Which nodes hold which shard: rendezvous hashing over the members, one zone after another."""
+"""Placement of shards on nodes: rendezvous hashing over the members, spread over zones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 @lru_cache(maxsize=200_000)
 def shard_of(kind: str, key: str) -> int:
-    """
+    """The shard of a row's kind and key.
+
     >>> 0 <= shard_of("use", "00000000b4d65521") < SHARDS
     True
     """
@@ -20,14 +21,17 @@
 
 @lru_cache(maxsize=100_000)
 def weight(shard: int, node: str) -> int:
+    """The rendezvous weight of a node for a shard; the nodes of the largest weights hold it."""
     return int.from_bytes(blake2b(f"{shard} {node}".encode(), digest_size=8).digest(), "big")
 
 
 def holders_of(
     shard: int, nodes: Iterable[str], count: int, zones: Mapping[str, str] | None = None
 ) -> list[str]:
-    """`count` of the nodes by weight, or all if there are fewer; where zones are known, no zone twice while
-    another has none. A node that goes moves its own shards alone.
+    """The `count` nodes that hold a shard by weight, or all nodes if there are fewer.
+
+    With `zones` (node -> zone) no zone gets a second replica while another has none. If a node leaves, only
+    shards that it held move.
 
     >>> len(set(holders_of(3, "abcd", 2)) & set(holders_of(3, "abcde", 2))) >= 1
     True
@@ -37,16 +41,16 @@
     ranked = sorted(nodes, key=lambda node: weight(shard, node), reverse=True)
     if not zones:
         return ranked[:count]
-    found: list[str] = []
-    left = ranked
-    while left and len(found) < count:
-        taken: set[str] = set()
-        rest: list[str] = []
-        for node in left:
-            if zones.get(node, "") in taken or len(found) >= count:
-                rest.append(node)
+    holders: list[str] = []
+    remaining = ranked
+    while remaining and len(holders) < count:
+        used_zones: set[str] = set()
+        skipped: list[str] = []
+        for node in remaining:
+            if zones.get(node, "") in used_zones or len(holders) >= count:
+                skipped.append(node)
             else:
-                taken.add(zones.get(node, ""))
-                found.append(node)
-        left = rest
-    return found
+                used_zones.add(zones.get(node, ""))
+                holders.append(node)
+        remaining = skipped
+    return holders
--- a/merlintally/cluster/copies/store.py
+++ b/merlintally/cluster/copies/store.py
@@ -1,9 +1,9 @@
-"""Rows of state that only their owner changes, merged in any order and any number of times.
+"""Rows of replicated state, each changed by its owner only, merged in any order and any number of times.
 
-A row belongs to a node and one start of it. Its owner raises the row's version with every change, so of two
-copies the higher version holds: the merge is commutative, associative, idempotent and never goes back. Two
-copies of one version that differ are a fault of ours or of a disk: the narrower one is acted on, both are
-kept aside with where they came from, and the row's shard has to be fetched anew.
+A row belongs to one start of one node. The owner raises the version with every change, so the higher version
+wins: the merge is commutative, associative and idempotent, and a row never goes back. Two replicas of one
+version that differ are a conflict, caused by a software fault or a corrupt disk: the more restrictive one is
+used, both are quarantined with their origin, and the shard has to be compared with other holders again.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 
 from merlintally.cluster.copies.holders import shard_of
 
-USE = "use"  # kinds of rows
+# Kinds of rows.
+USE = "use"
 SERVER = "server"
 OUT = "out"
 MARK = "mark"
-WIDTHS = {USE: 1, SERVER: 4, OUT: 1, MARK: 1}  # figures of a row
-MOST_KEY = 200
-MOST_FIGURE = 1e12
-BUCKETS = 16  # of a shard, whose digests tell where two copies of it differ
+VALUES_PER_ROW = {USE: 1, SERVER: 4, OUT: 1, MARK: 1}
+MAX_NAME_LENGTH = 200  # characters of a key or a node's name
+MAX_VALUE = 1e12
+BUCKETS = 16  # per shard; replicas of a shard are compared bucket by bucket
 
-MISTAKES = (  # planted by name, in tests only
+MISTAKES = (  # faults that tests inject by name
     "a merge that adds",
     "a start is forgotten",
     "an older version taken",
@@ -40,9 +41,15 @@
 
 
 class Row(NamedTuple):
-    """`kind` and `key` (a customer and its epoch, an app server, a submission, a counter), whose it is, and
-    `figures`: units drawn; started, cold work spent, answer time, share of failures; seconds left; an
-    epoch."""
+    """A row; on the wire and on disk it is an array: the order of fields matters.
+
+    `key` names what the row is about, `node` and `start` are its owner. `figures` depends on the kind:
+
+    - "use": units drawn of the customer and epoch that the key names
+    - "server": start, cold work spent, answer time and share of failures of an app server
+    - "out": seconds left of a submission
+    - "mark": epoch of a counter
+    """
 
     kind: str
     key: str
@@ -53,137 +60,155 @@
 
     @property
     def name(self) -> tuple[str, str, str, int]:
+        """What identifies the row: all versions of it have the same name."""
         return self.kind, self.key, self.node, self.start
 
-    def wrong(self) -> str:
-        """Why it can't be, or ""."""
-        if self.kind not in WIDTHS:
-            return f"a row of an unknown kind {self.kind!r:.20}"
-        if not self.key or not self.node or len(self.key) > MOST_KEY or len(self.node) > MOST_KEY:
-            return "a key or a node that is empty or too long"
-        if self.version < 1 or self.start < 1 or len(self.figures) != WIDTHS[self.kind]:
-            return f"{self.key:.40}: a version, start or number of figures that can't be"
-        if not all(math.isfinite(one) and 0 <= one <= MOST_FIGURE for one in self.figures):
-            return f"{self.key:.40}: a figure that is negative, not finite or too large"
+    def problem(self) -> str:
+        """Why the row is invalid, or ""."""
+        if self.kind not in VALUES_PER_ROW:
+            return f"unknown kind of row: {self.kind!r:.20}"
+        if (
+            not self.key
+            or not self.node
+            or len(self.key) > MAX_NAME_LENGTH
+            or len(self.node) > MAX_NAME_LENGTH
+        ):
+            return "key or node is empty or too long"
+        if self.version < 1 or self.start < 1 or len(self.figures) != VALUES_PER_ROW[self.kind]:
+            return f"{self.key:.40}: invalid version, start or number of values"
+        if not all(math.isfinite(value) and 0 <= value <= MAX_VALUE for value in self.figures):
+            return f"{self.key:.40}: a value is negative, not finite or too large"
         return ""
 
     @property
     def bucket(self) -> int:
+        """The row's bucket within its shard."""
         return crc32(repr(self.name).encode()) % BUCKETS
 
     def digest(self) -> int:
-        """Sums of digests tell whether two sets of rows are the same, whatever their order."""
+        """A hash of the whole row. The XOR over a set of rows does not depend on their order."""
         return int.from_bytes(blake2b(repr(tuple(self)).encode(), digest_size=8).digest(), "big")
 
 
 class Store:
-    """All rows that a node holds, by shard. `quarantine` has the copies that nobody acts on, with their
-    origin."""
-
-    def __init__(self, mistakes: frozenset[str] = frozenset()) -> None:
-        self.rows: dict[int, dict[tuple[str, str, str, int], Row]] = {}
-        # the same rows by kind and key
-        self.keys: dict[tuple[str, str], dict[tuple[str, str, str, int], Row]] = {}
-        self.digests: dict[int, list[int]] = {}  # by shard and bucket of it
+    """All rows that a node holds, by shard.
+
+    `quarantine` has the latest replicas that were in conflict, each with its origin; they are kept for
+    inspection only. `refused` counts the messages with an invalid row.
+    """
+
+    def __init__(self, injected_faults: frozenset[str] = frozenset()) -> None:
+        self.rows: dict[int, dict[tuple[str, str, str, int], Row]] = {}  # by shard and name
+        self.rows_by_key: dict[tuple[str, str], dict[tuple[str, str, str, int], Row]] = {}  # by kind and key
+        self.bucket_digests: dict[int, list[int]] = {}  # by shard
         self.quarantine: list[tuple[str, Row]] = []
-        self.suspect: set[int] = set()  # shards in which copies differed
+        self.conflicting_shards: set[int] = set()
         self.refused = 0
-        self.mistakes = mistakes
+        self.injected_faults = injected_faults
 
     def get(self, kind: str, key: str, node: str, start: int) -> Row | None:
         return self.rows.get(shard_of(kind, key), {}).get((kind, key, node, start))
 
     def merge(self, rows: Iterable[Row], origin: str) -> list[Row]:
-        """Take what is newer; gives what was taken. Any row that can't be has all of them refused."""
+        """Merge rows from `origin`; return those that changed the store. One invalid row refuses all."""
         rows = list(rows)
-        if "a row without a check" not in self.mistakes and any(one.wrong() for one in rows):
+        if "a row without a check" not in self.injected_faults and any(row.problem() for row in rows):
             self.refused += 1
             return []
-        return [one for one in rows if self._take(one, origin)]
+        return [row for row in rows if self._merge_row(row, origin)]
 
-    def _take(self, row: Row, origin: str) -> bool:
-        if "a start is forgotten" in self.mistakes:
+    def _merge_row(self, row: Row, origin: str) -> bool:
+        """Merge one valid row; return whether it changed the store."""
+        if "a start is forgotten" in self.injected_faults:
             row = row._replace(start=1)
         shard = shard_of(row.kind, row.key)
         held = self.rows.setdefault(shard, {})
-        had = held.get(row.name)
-        if had == row:
+        previous = held.get(row.name)
+        if previous == row:
             return False
-        if had is not None and "a merge that adds" in self.mistakes and row.kind == USE:
+        if previous is not None and "a merge that adds" in self.injected_faults and row.kind == USE:
             row = row._replace(
-                version=max(had.version, row.version),
-                figures=tuple(a + b for a, b in zip(had.figures, row.figures, strict=True)),
+                version=max(previous.version, row.version),
+                figures=tuple(a + b for a, b in zip(previous.figures, row.figures, strict=True)),
             )
-        elif had is not None and had.version == row.version:
-            self.quarantine = [*self.quarantine, (origin, row), ("here", had)][-1000:]
-            self.suspect.add(shard)
-            narrow = narrower(had, row)
-            if narrow == had and "differing copies spread" not in self.mistakes:
+        elif previous is not None and previous.version == row.version:
+            self.quarantine = [*self.quarantine, (origin, row), ("here", previous)][-1000:]
+            self.conflicting_shards.add(shard)
+            restrictive = more_restrictive(previous, row)
+            if restrictive == previous and "differing copies spread" not in self.injected_faults:
                 return False
-            row = narrow if "differing copies spread" not in self.mistakes else row
-        elif had is not None and had.version > row.version and "an older version taken" not in self.mistakes:
+            row = restrictive if "differing copies spread" not in self.injected_faults else row
+        elif (
+            previous is not None
+            and previous.version > row.version
+            and "an older version taken" not in self.injected_faults
+        ):
             return False
-        self._put(shard, held, had, row)
+        self._put(shard, held, previous, row)
         return True
 
-    def _put(self, shard: int, held: dict[tuple[str, str, str, int], Row], had: Row | None, row: Row) -> None:
-        buckets = self.digests.setdefault(shard, [0] * BUCKETS)
-        buckets[row.bucket] ^= row.digest() ^ (had.digest() if had is not None else 0)
+    def _put(
+        self, shard: int, held: dict[tuple[str, str, str, int], Row], previous: Row | None, row: Row
+    ) -> None:
+        digests = self.bucket_digests.setdefault(shard, [0] * BUCKETS)
+        digests[row.bucket] ^= row.digest() ^ (previous.digest() if previous is not None else 0)
         held[row.name] = row
-        self.keys.setdefault((row.kind, row.key), {})[row.name] = row
+        self.rows_by_key.setdefault((row.kind, row.key), {})[row.name] = row
 
     def forget(self, name: tuple[str, str, str, int]) -> None:
-        """Drop one row."""
+        """Remove one row, if it is held."""
         shard = shard_of(*name[:2])
         row = self.rows.get(shard, {}).pop(name, None)
         if row is not None:
-            self.digests[shard][row.bucket] ^= row.digest()
-            self._unkey(row)
+            self.bucket_digests[shard][row.bucket] ^= row.digest()
+            self._remove_from_keys(row)
 
-    def _unkey(self, row: Row) -> None:
-        rows = self.keys[row.kind, row.key]
+    def _remove_from_keys(self, row: Row) -> None:
+        rows = self.rows_by_key[row.kind, row.key]
         del rows[row.name]
         if not rows:
-            del self.keys[row.kind, row.key]
+            del self.rows_by_key[row.kind, row.key]
 
     def drop(self, shard: int) -> None:
-        """Forget a shard: it is held elsewhere now, or is fetched anew."""
+        """Remove a shard that other nodes hold now."""
         for row in self.rows.pop(shard, {}).values():
-            self._unkey(row)
-        self.digests.pop(shard, None)
-        self.suspect.discard(shard)
+            self._remove_from_keys(row)
+        self.bucket_digests.pop(shard, None)
+        self.conflicting_shards.discard(shard)
 
     def digest(self, shard: int) -> int:
-        found = 0
-        for one in self.digests.get(shard, ()):
-            found ^= one
-        return found
+        """The digest of a shard, equal to that of any replica with the same rows."""
+        combined = 0
+        for bucket_digest in self.bucket_digests.get(shard, ()):
+            combined ^= bucket_digest
+        return combined
 
     def buckets(self, shard: int) -> list[int]:
-        return list(self.digests.get(shard, [0] * BUCKETS))
+        """The digests of a shard's buckets."""
+        return list(self.bucket_digests.get(shard, [0] * BUCKETS))
 
     def shard(self, shard: int) -> Iterator[Row]:
+        """The rows of a shard."""
         return iter(self.rows.get(shard, {}).values())
 
-    def of(self, kind: str, key: str) -> list[Row]:
+    def of_key(self, kind: str, key: str) -> list[Row]:
         """All owners' rows of one key."""
-        return list(self.keys.get((kind, key), {}).values())
+        return list(self.rows_by_key.get((kind, key), {}).values())
 
     def used(self, customer: str) -> float:
-        """Units that all nodes and starts together drew, of one customer and epoch."""
-        return sum(row.figures[0] for row in self.of(USE, customer))
+        """Units that all nodes and starts together drew of a customer and epoch."""
+        return sum(row.figures[0] for row in self.of_key(USE, customer))
 
     def __len__(self) -> int:
         return sum(map(len, self.rows.values()))
 
 
-def narrower(one: Row, other: Row) -> Row:
-    """The copy that is the more careful one to act on: more units drawn, a later start with more cold work
-    spent, slower and failing more, longer out, a later epoch. Every figure of every kind is careful when
-    larger.
+def more_restrictive(row: Row, other: Row) -> Row:
+    """The row that leads to more cautious decisions: more units drawn, a later start with more cold work
+    spent, slower and failing more often, longer out, a later epoch. For every kind, larger values do.
 
     >>> a = Row(USE, "c", "n", 1, 3, (4.0,))
-    >>> narrower(a, a._replace(figures=(5.0,))).figures
+    >>> more_restrictive(a, a._replace(figures=(5.0,))).figures
     (5.0,)
     """
-    return max(one, other, key=lambda row: row.figures)
+    return max(row, other, key=lambda candidate: candidate.figures)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -87,7 +87,7 @@
         store = Store()
         store.merge([first], "n1")
         store.merge([second], "n2")
-        assert store.used("c") == 9.0 and store.suspect == {shard_of(USE, "c")}
+        assert store.used("c") == 9.0 and store.conflicting_shards == {shard_of(USE, "c")}
         assert {origin for origin, _ in store.quarantine} == {"n2", "here"}
 
 
