--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of state: laws of the merge, rows that can't be, holders, and schedules under faults."""
+"""Replicated rows: the merge, invalid rows, placement, sums, forgetting, and schedules with faults."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def rows(random: Random, count: int) -> list[Row]:
-    """Rows as owners tell them: one version has one content."""
+    """Random rows without conflicts: equal names and versions have equal values."""
     found = []
     for _ in range(count):
         kind, width = random.choice(((USE, 1), (SERVER, 4), (OUT, 1)))
@@ -36,8 +36,8 @@
             random.randint(1, 2),
             random.randint(1, 5),
         )
-        figures = Random(f"{kind}{key}{node}{start}{version}")
-        found.append(Row(kind, key, node, start, version, tuple(figures.uniform(0, 9) for _ in range(width))))
+        values = Random(f"{kind}{key}{node}{start}{version}")
+        found.append(Row(kind, key, node, start, version, tuple(values.uniform(0, 9) for _ in range(width))))
     return found
 
 
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid",
     [
         ROW._replace(figures=(-1.0,)),
         ROW._replace(figures=(float("nan"),)),
@@ -77,12 +77,12 @@
         ROW._replace(version=0),
     ],
 )
-def test_a_row_that_cannot_be_has_all_that_came_with_it_refused(wrong: Row) -> None:
+def test_one_invalid_row_refuses_the_whole_message(invalid: Row) -> None:
     store = Store()
-    assert store.merge([ROW, wrong], "n9") == [] and (len(store), store.refused) == (0, 1)
+    assert store.merge([ROW, invalid], "n9") == [] and (len(store), store.refused) == (0, 1)
 
 
-def test_of_two_copies_of_one_version_the_narrower_is_acted_on_and_both_are_kept() -> None:
+def test_in_a_conflict_the_more_restrictive_row_is_used_and_both_are_quarantined() -> None:
     for first, second in ((ROW, ROW._replace(figures=(9.0,))), (ROW._replace(figures=(9.0,)), ROW)):
         store = Store()
         store.merge([first], "n1")
@@ -91,7 +91,7 @@
         assert {origin for origin, _ in store.quarantine} == {"n2", "here"}
 
 
-def test_starts_of_one_name_are_told_apart_and_an_old_message_changes_nothing() -> None:
+def test_starts_of_one_node_are_separate_and_an_old_message_changes_nothing() -> None:
     store = Store()
     store.merge([ROW, ROW._replace(start=2, version=1, figures=(1.0,))], "n1")
     assert store.used("c") == 5.0
@@ -99,7 +99,7 @@
     assert store.used("c") == 5.0
 
 
-def test_holders_lie_in_all_zones_and_move_little() -> None:
+def test_holders_are_spread_over_zones_and_few_move_when_a_node_leaves() -> None:
     names = [f"n{at}" for at in range(12)]
     zones = {name: f"z{at % 3}" for at, name in enumerate(names)}
     moved = 0
@@ -110,7 +110,7 @@
     assert moved < 64 * 3 / 12 * 2
 
 
-def test_the_byte_budget_holds_and_the_most_telling_goes_first() -> None:
+def test_the_byte_budget_holds_and_high_priorities_go_first() -> None:
     core = Copies("a", 1, Terms(budget=400.0, spread_s=0.1), Random(1), 0.0)
     core.follow(0.0, ["a", "b"], {})
     for at in range(100):
@@ -121,89 +121,91 @@
 
 
 def pair(**terms: Any) -> tuple[Copies, Copies]:
-    """Two nodes of which each holds everything."""
+    """Two nodes that both hold every shard."""
     found = tuple(Copies(name, 1, Terms(copies=2, **terms), Random(1), 0.0) for name in "ab")
     for one in found:
         one.follow(0.0, ["a", "b"], {})
     return found[0], found[1]
 
 
-def talk(a: Copies, b: Copies, now: float, lost: str = "") -> dict[str, list[tuple[str, float]]]:
-    """Wake both and carry messages until there are none, but calls of the name `lost`; gives the sums that
-    each heard."""
-    heard: dict[str, list[tuple[str, float]]] = {"a": [], "b": []}
+def exchange(a: Copies, b: Copies, now: float, lost: str = "") -> dict[str, list[tuple[str, float]]]:
+    """Wake both nodes and deliver messages until there are none; return the sums that each node received.
+
+    Messages named `lost` are dropped.
+    """
+    received: dict[str, list[tuple[str, float]]] = {"a": [], "b": []}
     by_name = {"a": a, "b": b}
     for one in by_name.values():
         one.wake(now)
     while True:
         results = {name: one.take_results() for name, one in by_name.items()}
         for name, found in results.items():
-            heard[name] += found.sums
+            received[name] += found.sums
         sends = [(name, *send) for name, found in results.items() for send in found.sends]
         if not sends:
-            return heard
+            return received
         for sender, to, call, args in sends:
             if call != lost:
                 by_name[to].hear(now, sender, call, args)
 
 
-def test_each_hears_what_the_others_drew_and_never_its_own_draws() -> None:
+def test_each_node_receives_what_others_drew_without_its_own_draws() -> None:
     a, b = pair()
     a.draw(0.0, "c", 3.0)
     b.draw(0.0, "c", 5.0)
-    b.draw(0.0, "d", 9.0)  # a draws nothing of it, and is not told
-    heard = [talk(a, b, at / 4) for at in range(1, 12)]
-    assert {row for one in heard for row in one["a"]} == {("c", 5.0)}
-    assert {row for one in heard for row in one["b"]} == {("c", 3.0)}
+    b.draw(0.0, "d", 9.0)  # a draws nothing of it and gets no sum
+    received = [exchange(a, b, at / 4) for at in range(1, 12)]
+    assert {row for one in received for row in one["a"]} == {("c", 5.0)}
+    assert {row for one in received for row in one["b"]} == {("c", 3.0)}
 
 
 @pytest.mark.parametrize("lost", ["rows", "sums"])
-def test_what_was_lost_on_its_way_is_told_again(lost: str) -> None:
-    """Guards against the row of an owner that is no holder, which nobody else can miss."""
+def test_lost_rows_and_sums_are_sent_again(lost: str) -> None:
+    """Anti-entropy does not repair the loss of a row whose owner is not a holder."""
     a, b = pair()
     a.draw(0.0, "c", 3.0)
     b.draw(0.0, "c", 5.0)
     for at in range(1, 4):
-        talk(a, b, at / 4, lost)
+        exchange(a, b, at / 4, lost)
     assert a.unheard(1.0) is (lost == "rows")
     for at in range(4, 14):
-        talk(a, b, at / 4)
+        exchange(a, b, at / 4)
     assert (a.sums, b.sums) == ({"c": 5.0}, {"c": 3.0}) and not a.unheard(9.0)
 
 
-def test_a_customer_drawn_of_all_the_time_does_not_hide_that_nobody_answers() -> None:
+def test_continuous_draws_do_not_hide_missing_acknowledgements() -> None:
     a, b = pair()
     for at in range(1, 12):
         a.draw(at / 4, "c", 1.0)
-        talk(a, b, at / 4)
+        exchange(a, b, at / 4)
     assert not a.unheard(11 / 4)
     for at in range(12, 20):
         a.draw(at / 4, "c", 1.0)
-        talk(a, b, at / 4, "rows")
+        exchange(a, b, at / 4, "rows")
     assert a.unheard(19 / 4)
 
 
-def test_a_row_that_nobody_changes_goes_and_does_not_come_back() -> None:
+def test_an_unchanged_row_is_forgotten_and_does_not_come_back() -> None:
     a, b = pair(forget_s=10.0)
     a.draw(0.0, "c", 3.0)
-    talk(a, b, 0.3)
+    exchange(a, b, 0.3)
     rows = b.store_rows()
     assert [row.figures for row in rows] == [(3.0,)]
     for at in range(1, 30):
-        talk(a, b, float(at))
+        exchange(a, b, float(at))
     assert not a.store_rows() and not b.store_rows() and not a.own
-    b.hear(29.5, "a", "rows", (rows,))  # a late word of before
+    b.hear(29.5, "a", "rows", (rows,))  # a late message
     assert not b.store_rows()
-    a.draw(30.0, "c", 2.0)  # its owner goes on where it was: a version above, and the units of before
-    talk(a, b, 30.3)
+    a.draw(30.0, "c", 2.0)  # the owner goes on from the forgotten version and units
+    exchange(a, b, 30.3)
     assert [(row.version, row.figures) for row in b.store_rows()] == [(2, (5.0,))]
 
 
-@pytest.mark.parametrize("wrong", [-1.0, float("nan"), float("inf"), 1e15])
-def test_a_sum_that_cannot_be_is_refused_whole(wrong: float) -> None:
+@pytest.mark.parametrize("invalid", [-1.0, float("nan"), float("inf"), 1e15])
+def test_an_invalid_sum_refuses_the_whole_message(invalid: float) -> None:
     a, _ = pair()
     a.draw(0.0, "c", 3.0)
-    a.hear(0.1, "b", "sums", ([("c", 4.0), ("c", wrong)],))
+    a.hear(0.1, "b", "sums", ([("c", 4.0), ("c", invalid)],))
     assert a.sums == {} and a.store.refused == 1
 
 
@@ -217,7 +219,7 @@
         (39, 5, True, False),
     ],
 )
-def test_the_decisions_count_as_hearing_all_only_where_nearly_all_are_well(
+def test_sums_count_as_complete_only_while_nearly_all_members_are_healthy(
     others: int, dead: int, leased: bool, whole: bool
 ) -> None:
     names = [f"n{at}" for at in range(others)]
@@ -231,7 +233,7 @@
     assert core.hears_all(101.0) is whole
 
 
-def test_kept_rows_are_read_again_and_spoilt_ones_are_none(tmp_path: Path) -> None:
+def test_saved_rows_are_read_back_and_corrupt_ones_ignored(tmp_path: Path) -> None:
     disk = Disk(tmp_path)
     disk.keep([ROW])
     assert disk.kept_rows() == [ROW]
@@ -241,12 +243,12 @@
     assert disk.kept_rows() == []
 
 
-def test_what_others_drew_reaches_the_decisions_as_notes_but_for_the_first_sum(tmp_path: Path) -> None:
+def test_sums_reach_the_decisions_as_notes_relative_to_the_first_sum(tmp_path: Path) -> None:
     async def act() -> None:
         log = Log("a", 99.0, StringIO())
         part = ClusterPart(name="c", folder=str(tmp_path), listen="127.0.0.1:1", voters=("a",), copies=1)
         node = ClusterNode(part, "a", 1, Disk(tmp_path), log)
-        node._summed([("000000ff", 40.0)])  # drawn before this start heard of it, and long flowed back
+        node._summed([("000000ff", 40.0)])  # the first sum is the baseline: nothing to send
         assert told(node.sums.values()) == b""
         node._summed([("000000ff", 43.5)])
         assert list(unpack(told(node.sums.values()))) == [(255, 3.5)]
@@ -263,18 +265,18 @@
     anyio.run(act)
 
 
-def test_no_schedule_breaks_what_is_promised() -> None:
+def test_no_schedule_breaks_an_invariant() -> None:
     broken = {seed: verdict.broken for seed in range(12) if (verdict := play(seed)).broken}
     assert broken == {}
 
 
-FOUND = {
+SHOWN_BY_SEED = {
     "a merge that adds": 0,
     "a start is forgotten": 0,
     "a row without a check": 4,
 }
 
 
-@pytest.mark.parametrize("mistake", FOUND)
-def test_a_planted_mistake_is_found(mistake: str) -> None:
-    assert mistake in MISTAKES and any(play(seed, (mistake,)).broken for seed in range(FOUND[mistake] + 1))
+@pytest.mark.parametrize("fault", SHOWN_BY_SEED)
+def test_an_injected_fault_is_found(fault: str) -> None:
+    assert fault in MISTAKES and any(play(seed, (fault,)).broken for seed in range(SHOWN_BY_SEED[fault] + 1))
