--- a/merlintally/cluster/work/order.py
+++ b/merlintally/cluster/work/order.py
@@ -38,9 +38,9 @@
 def next_turn(work: Work, seen: Seen) -> Choice:
     """Select the machine to call next among those of all open requests.
 
-    Lost machines come first, as taking them out loses no further capacity. Then come machines of the zone
-    that has turns already, then the order of the requests and the order within each. The leader's own
-    machine comes after others of its zone.
+    Lost machines come first, as taking them out loses no further capacity; then machines of the zone that has
+    turns already; then all but the leader's own machine. The rest follows the order of the requests and of
+    the machines within each.
     """
     choice, candidates = Choice(), list[tuple[tuple[object, ...], str, str]]()
     sizes = work.sizes()
--- a/merlintally/cluster/work/parts.py
+++ b/merlintally/cluster/work/parts.py
@@ -143,7 +143,7 @@
 
 
 class NodeStatus(Struct):
-    """What the leader knows of a node.
+    """A node's status as its last report to the leader and its lease give it.
 
     `acts_on`: index of the last entry that the node has applied. `silent`: whether its lease has expired for
     certain. `wants`: the thousandths that it would draw of each customer who is at the ceiling.
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -323,8 +323,8 @@
     core.mistakes = faults("an old leader's word renews")
     core.hear(102.2, "c", "w.renew", (102.1, Report(1, 0), False))
     core.wake(102.3)  # no node has confirmed its leadership since
-    told = [call for to, call, _ in core.take_results().sends if to == "c" and call == "w.right"]
-    assert bool(told) is injected
+    permissions_sent = [call for to, call, _ in core.take_results().sends if to == "c" and call == "w.right"]
+    assert bool(permissions_sent) is injected
 
 
 def test_a_turn_is_looked_up_by_a_leader_that_a_majority_has_confirmed() -> None:
