--- a/merlintally/cluster/copies/spread.py
+++ b/merlintally/cluster/copies/spread.py
@@ -77,15 +77,15 @@
 class Copies:
     """One node's part in replication.
 
-    Call `follow` with the members, `put` or `draw` to change a row of this node, `hear` for each message and
-    `wake` at the time that the results name.
+    Call `follow` with the members, `put` or `draw` to change a row of this node, `hear` for each
+    message and `wake` at the time that the results name.
     """
 
     def __init__(
         self,
         name: str,
         start: int,
-        settings: Terms,
+        terms: Terms,
         random: Random,
         now: float,
         saved_rows: Iterable[Row] = (),
@@ -93,7 +93,7 @@
     ) -> None:
         """`saved_rows` come from the folder. They may be old: they only save transfers, as the node has to
         catch up with the other holders all the same."""
-        self.name, self.start, self.terms, self.random, self.now = name, start, settings, random, now
+        self.name, self.start, self.terms, self.random, self.now = name, start, terms, random, now
         self.injected_faults, self.store = injected_faults, Store(injected_faults)
         self.store.merge(saved_rows, "folder")
         self.members: list[str] = [name]
@@ -104,9 +104,9 @@
             tuple[str, str, str, int], Row
         ] = {}  # rows of this start, also of shards held elsewhere
         self.unsent: OrderedDict[tuple[str, str, str, int], float] = OrderedDict()  # row -> priority
-        self.byte_allowance, self.allowance_at = settings.budget, now
-        self.spread_at = now + settings.spread_s * random.random()
-        self.compare_at = now + settings.compare_s * random.random()
+        self.byte_allowance, self.allowance_at = terms.budget, now
+        self.spread_at = now + terms.spread_s * random.random()
+        self.compare_at = now + terms.compare_s * random.random()
         self.started_at = now
         # shard -> holders whose digest was equal, and those of them that had caught up with it
         self.equal_with: dict[int, set[str]] = {shard: set() for shard in range(SHARDS)}
--- a/merlintally/cluster/copies/store.py
+++ b/merlintally/cluster/copies/store.py
@@ -21,7 +21,7 @@
 SERVER = "server"
 OUT = "out"
 MARK = "mark"
-VALUES_PER_ROW = {USE: 1, SERVER: 4, OUT: 1, MARK: 1}
+FIGURES_PER_ROW = {USE: 1, SERVER: 4, OUT: 1, MARK: 1}
 MAX_NAME_LENGTH = 200  # characters of a key or a node's name
 MAX_VALUE = 1e12
 BUCKETS = 16  # per shard; replicas of a shard are compared bucket by bucket
@@ -65,7 +65,7 @@
 
     def problem(self) -> str:
         """Why the row is invalid, or ""."""
-        if self.kind not in VALUES_PER_ROW:
+        if self.kind not in FIGURES_PER_ROW:
             return f"unknown kind of row: {self.kind!r:.20}"
         if (
             not self.key
@@ -74,7 +74,7 @@
             or len(self.node) > MAX_NAME_LENGTH
         ):
             return "key or node is empty or too long"
-        if self.version < 1 or self.start < 1 or len(self.figures) != VALUES_PER_ROW[self.kind]:
+        if self.version < 1 or self.start < 1 or len(self.figures) != FIGURES_PER_ROW[self.kind]:
             return f"{self.key:.40}: invalid version, start or number of values"
         if not all(math.isfinite(value) and 0 <= value <= MAX_VALUE for value in self.figures):
             return f"{self.key:.40}: a value is negative, not finite or too large"
--- a/merlintally/cluster/work/coordinator.py
+++ b/merlintally/cluster/work/coordinator.py
@@ -22,8 +22,8 @@
 
     A node's lease lasts `lease_s` by its own clock, from the moment when it sent the renewal. `drift` is the
     largest share by which a clock may run fast or slow. `warm_s`: slow start of a returning machine's
-    servers. `longest_s`: the longest that an execution may take, which is the longest hard limit. `even`: a
-    node's even share of a ceiling in thousandths, 0 if no shares are lent.
+    servers. `longest_s`: the longest that an execution may take, which is the longest hard limit.
+    `even`: a node's even share of a ceiling in thousandths, 0 if no shares are lent.
     """
 
     lease_s: float = 3.0
--- a/merlintally/cluster/work/edge.py
+++ b/merlintally/cluster/work/edge.py
@@ -11,8 +11,8 @@
 class Edge:
     """One node's permissions.
 
-    `until` is when the node sent its last confirmed renewal, by its own clock: the lease counts from then and
-    not from the leader's answer, and is valid before `until + lease_s`.
+    `until` is when the node sent its last confirmed renewal, by its own clock. The lease counts from
+    then and not from the leader's answer, and is valid before `until + lease_s`.
     """
 
     def __init__(
