--- a/merlintally/cluster/copies/spread.py
+++ b/merlintally/cluster/copies/spread.py
@@ -61,10 +61,10 @@
 class Results:
     """What the caller has to carry out, taken with `take_results`."""
 
-    sends: list[tuple[str, str, tuple[Any, ...]]] = field(
-        default_factory=list
-    )  # receiver, message, arguments
-    sums: list[tuple[str, float]] = field(default_factory=list)  # customer, total that all other nodes drew
+    # receiver, message, arguments
+    sends: list[tuple[str, str, tuple[Any, ...]]] = field(default_factory=list)
+    # customer, units that all other nodes drew in total
+    sums: list[tuple[str, float]] = field(default_factory=list)
     events: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
     wake_at: float = 0.0
 
@@ -100,9 +100,8 @@
         self.zones: Mapping[str, str] = {}
         self.held: set[int] = set(range(SHARDS))
         self.holders: dict[int, list[str]] = {}  # by shard, for the current members
-        self.own: dict[
-            tuple[str, str, str, int], Row
-        ] = {}  # rows of this start, also of shards held elsewhere
+        # rows of this start, also of shards that are held elsewhere
+        self.own: dict[tuple[str, str, str, int], Row] = {}
         self.unsent: OrderedDict[tuple[str, str, str, int], float] = OrderedDict()  # row -> priority
         self.byte_allowance, self.allowance_at = terms.budget, now
         self.spread_at = now + terms.spread_s * random.random()
@@ -192,7 +191,8 @@
         """Change a row of this node. Rows of higher priority are sent first."""
         self.now = now
         name = (kind, key, self.name, self.start)
-        previous = self.own.get(name)  # not the store's: shards that are held elsewhere get dropped there
+        # Not the store's row: the store drops shards that are held elsewhere.
+        previous = self.own.get(name)
         version = previous.version if previous is not None else self.tombstones.get(name, (0.0, 0, ()))[1]
         row = self.own[name] = Row(*name, version + 1, figures)
         self.changed_at[name] = now
--- a/merlintally/cluster/work/state.py
+++ b/merlintally/cluster/work/state.py
@@ -139,9 +139,7 @@
     requests: dict[str, Request] = field(default_factory=dict)
     turns: dict[str, Turn] = field(default_factory=dict)  # by machine, until the machine is back
     number: int = 0  # of the last turn; never decreases
-    gone: dict[str, int] = field(
-        default_factory=dict
-    )  # node -> its latest start declared gone by an operator
+    gone: dict[str, int] = field(default_factory=dict)  # node -> last start declared gone by an operator
     taken: dict[str, str] = field(default_factory=dict)  # entry id -> "" or why the entry was void
     history: list[str] = field(default_factory=list)
     index: int = 0  # of the last applied entry
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -352,9 +352,8 @@
 def test_a_node_resuming_after_its_lease_does_not_send_to_a_called_machine() -> None:
     permissions = edge(state_after(("call", 1, "m0", "r1")))
     assert permissions.may_send("s0", 102.9, 3.0) and not permissions.may_send("s0", 103.0, 3.0)
-    assert permissions.may_send("s1", 999.0, 3.0) and permissions.may_take(
-        999.0
-    )  # other machines are still served
+    # Other machines are still served.
+    assert permissions.may_send("s1", 999.0, 3.0) and permissions.may_take(999.0)
 
 
 def test_a_lease_counts_from_when_the_renewal_was_sent_and_never_shrinks() -> None:
