--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -155,7 +155,7 @@
     assert ("grant", 1, "m0") in leader.step(101.0, work, Seen(voters=view.voters))[0]
 
 
-def test_voters_do_not_change_if_machines_that_are_out_would_hold_the_majority() -> None:
+def test_voters_do_not_change_if_too_few_would_be_left_beside_the_machines_that_are_out() -> None:
     core = led_by_a(("a", "b", "c"))
     core.work = state_after(("call", 1, "m0", "r1"), ("grant", 1, "m0"))
     core.work.machines["m0"] = msgspec.structs.replace(core.work.machines["m0"], edges=("b",))
