--- a/merlintally/cli/faults.py
+++ b/merlintally/cli/faults.py
@@ -121,7 +121,7 @@
 
 
 def mistakes_of(core: str) -> tuple[str, ...]:
-    found: tuple[str, ...] = importlib.import_module(f"merlintally.{CORES[core]}").MISTAKES
+    found: tuple[str, ...] = importlib.import_module(f"merlintally.{CORES[core]}").INJECTED_FAULTS
     return found
 
 
--- a/merlintally/cli/working.py
+++ b/merlintally/cli/working.py
@@ -14,7 +14,7 @@
 
 from merlintally.cli.cluster import ask, cluster_part, json_option, node_option, operators_option, refuse
 from merlintally.cli.front import told
-from merlintally.cluster.work.state import LIMIT, Machine, machines_of
+from merlintally.cluster.work.state import LIMIT_PATTERN, Machine, machines_by_name
 from merlintally.forms import Faults, load, read
 
 FILE = click.Path(dir_okay=False, path_type=Path)
@@ -61,7 +61,7 @@
     """
     found = read(load(file), Machines)
     try:
-        machines_of(found.machine)
+        machines_by_name(found.machine)
     except ValueError as wrong:
         raise Faults([f"{file}: machine.{wrong}"]) from None
     do(operators, node, "machines", [by, msgspec.to_builtins(found.machine)])
@@ -99,7 +99,7 @@
 ) -> None:
     """Ask for work on machines; prints the request's name."""
     for option, limit in (("--most", most), ("--most-pool", most_pool), ("--most-zone", most_zone)):
-        if not LIMIT.fullmatch(limit):
+        if not LIMIT_PATTERN.fullmatch(limit):
             raise Faults([f"{option}: {limit!r} is neither a number nor a share like 10%"])
     if bool(names) + bool(pool) + everything != 1:
         raise click.UsageError("one of --machine, --pool and --all")
--- a/merlintally/cluster/agreement/core.py
+++ b/merlintally/cluster/agreement/core.py
@@ -40,7 +40,7 @@
     "begin": tuple[int],  # term: stand for election at once
 }
 
-MISTAKES = (  # planted by name, in tests only: each has to be found by the schedules
+INJECTED_FAULTS = (  # planted by name, in tests only: each has to be found by the schedules
     "votes twice",
     "forgets its vote",
     "commits an older term by count",
--- a/merlintally/cluster/copies/__init__.py
+++ b/merlintally/cluster/copies/__init__.py
@@ -1,7 +1,16 @@
 """Replicated rows of state on the edge nodes, without input or output: see docs/copies.md."""
 
 from merlintally.cluster.copies.holders import holders_of, shard_of
-from merlintally.cluster.copies.spread import FORMS, Copies, Terms
-from merlintally.cluster.copies.store import MISTAKES, Row, Store
+from merlintally.cluster.copies.replication import MESSAGE_TYPES, ReplicationSettings, Replicator
+from merlintally.cluster.copies.store import INJECTED_FAULTS, Row, Store
 
-__all__ = ["FORMS", "MISTAKES", "Copies", "Row", "Store", "Terms", "holders_of", "shard_of"]
+__all__ = [
+    "MESSAGE_TYPES",
+    "INJECTED_FAULTS",
+    "Replicator",
+    "Row",
+    "Store",
+    "ReplicationSettings",
+    "holders_of",
+    "shard_of",
+]
--- a/merlintally/cluster/copies/holders.py
+++ b/merlintally/cluster/copies/holders.py
@@ -6,17 +6,17 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-SHARDS = 64
+SHARD_COUNT = 64
 
 
 @lru_cache(maxsize=200_000)
 def shard_of(kind: str, key: str) -> int:
     """The shard of a row's kind and key.
 
-    >>> 0 <= shard_of("use", "00000000b4d65521") < SHARDS
+    >>> 0 <= shard_of("use", "00000000b4d65521") < SHARD_COUNT
     True
     """
-    return int.from_bytes(blake2b(f"{kind} {key}".encode(), digest_size=4).digest(), "big") % SHARDS
+    return int.from_bytes(blake2b(f"{kind} {key}".encode(), digest_size=4).digest(), "big") % SHARD_COUNT
 
 
 @lru_cache(maxsize=100_000)
--- a/merlintally/cluster/copies/spread.py
+++ b/merlintally/cluster/copies/replication.py
@@ -13,10 +13,10 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from merlintally.cluster.copies.holders import SHARDS, holders_of, shard_of
+from merlintally.cluster.copies.holders import SHARD_COUNT, holders_of, shard_of
 from merlintally.cluster.copies.store import MAX_VALUE, USE, Row, Store
 
-FORMS: dict[str, Any] = {  # message -> types of its arguments
+MESSAGE_TYPES: dict[str, Any] = {  # message -> types of its arguments
     "rows": tuple[list[Row]],  # new versions of rows
     # acknowledges rows of the receiver's own that the sender holds: kind, key, start, version
     "took": tuple[list[tuple[str, str, int, int]]],
@@ -39,7 +39,7 @@
 MAX_FORGOTTEN_PER_WAKE = 2000
 
 
-class Terms(NamedTuple):
+class ReplicationSettings(NamedTuple):
     """Settings of replication.
 
     A change reaches its holders within `spread_s` and one send if the budget allows. Two holders whose
@@ -48,13 +48,13 @@
     """
 
     copies: int = 3  # replicas of each shard
-    budget: float = 20000.0  # bytes per second
+    bytes_per_s: float = 20000.0  # budget for all that is sent
     spread_s: float = 0.1
     compare_s: float = 0.1
-    chunk: int = 100  # rows or names in one message
+    max_items: int = 100  # rows or names in one message
     cold_after_s: float = 10.0  # a node that has not caught up by then starts cold
     forget_s: float = 120.0  # a row that has not changed for so long is dropped
-    again_s: float = 1.0  # retry interval of rows and sums without acknowledgement
+    retry_s: float = 1.0  # retry interval of rows and sums without acknowledgement
 
 
 @dataclass(slots=True)
@@ -74,10 +74,10 @@
     return ROW_OVERHEAD_BYTES + len(row.key) + len(row.node) + 8 * len(row.figures)
 
 
-class Copies:
+class Replicator:
     """One node's part in replication.
 
-    Call `follow` with the members, `put` or `draw` to change a row of this node, `hear` for each
+    Call `set_members` with the members, `put` or `draw` to change a row of this node, `receive` for each
     message and `wake` at the time that the results name.
     """
 
@@ -85,7 +85,7 @@
         self,
         name: str,
         start: int,
-        terms: Terms,
+        settings: ReplicationSettings,
         random: Random,
         now: float,
         saved_rows: Iterable[Row] = (),
@@ -93,23 +93,23 @@
     ) -> None:
         """`saved_rows` come from the folder. They may be old: they only save transfers, as the node has to
         catch up with the other holders all the same."""
-        self.name, self.start, self.terms, self.random, self.now = name, start, terms, random, now
+        self.name, self.start, self.settings, self.random, self.now = name, start, settings, random, now
         self.injected_faults, self.store = injected_faults, Store(injected_faults)
         self.store.merge(saved_rows, "folder")
         self.members: list[str] = [name]
         self.zones: Mapping[str, str] = {}
-        self.held: set[int] = set(range(SHARDS))
+        self.held: set[int] = set(range(SHARD_COUNT))
         self.holders: dict[int, list[str]] = {}  # by shard, for the current members
         # rows of this start, also of shards that are held elsewhere
-        self.own: dict[tuple[str, str, str, int], Row] = {}
+        self.own_rows: dict[tuple[str, str, str, int], Row] = {}
         self.unsent: OrderedDict[tuple[str, str, str, int], float] = OrderedDict()  # row -> priority
-        self.byte_allowance, self.allowance_at = terms.budget, now
-        self.spread_at = now + terms.spread_s * random.random()
-        self.compare_at = now + terms.compare_s * random.random()
+        self.byte_allowance, self.allowance_at = settings.bytes_per_s, now
+        self.spread_at = now + settings.spread_s * random.random()
+        self.compare_at = now + settings.compare_s * random.random()
         self.started_at = now
         # shard -> holders whose digest was equal, and those of them that had caught up with it
-        self.equal_with: dict[int, set[str]] = {shard: set() for shard in range(SHARDS)}
-        self.caught_up_with: dict[int, set[str]] = {shard: set() for shard in range(SHARDS)}
+        self.equal_with: dict[int, set[str]] = {shard: set() for shard in range(SHARD_COUNT)}
+        self.caught_up_with: dict[int, set[str]] = {shard: set() for shard in range(SHARD_COUNT)}
         self.caught_up = "an older folder is trusted" in injected_faults and bool(list(saved_rows))
         self.cold = False
         self.leaving: dict[int, set[str]] = {}  # shards no longer held -> holders that have all of their rows
@@ -121,7 +121,7 @@
         self.sweep_at, self.compare_turn = now, 0
         # own row -> first version without a majority of acknowledgements and when it was sent, last such
         # version and when it was sent
-        self.sent: dict[tuple[str, str, str, int], tuple[int, float, int, float]] = {}
+        self.unacknowledged: dict[tuple[str, str, str, int], tuple[int, float, int, float]] = {}
         # own row -> holder -> last version that it has acknowledged
         self.acknowledged: dict[tuple[str, str, str, int], dict[str, int]] = {}
         self.changed_customers: OrderedDict[str, None] = OrderedDict()  # whose sums have to be sent
@@ -129,13 +129,13 @@
         self.unacknowledged_sums: dict[str, dict[str, tuple[float, float]]] = {}
         self.first_held: set[int] = set()  # shards whose first holder is this node
         self.sums: dict[str, float] = {}  # what all others drew, of the customers that this start drew of
-        for row in self.store_rows():
+        for row in self.all_rows():
             self.changed_at[row.name] = now
         self.results = Results()
 
     # Calls of the node.
 
-    def follow(self, now: float, members: Iterable[str], zones: Mapping[str, str]) -> None:
+    def set_members(self, now: float, members: Iterable[str], zones: Mapping[str, str]) -> None:
         """Use these members and their zones from now on.
 
         A shard that this node no longer holds is kept until a majority of its holders has all of its rows.
@@ -147,7 +147,7 @@
         previous_holders, self.holders = self.holders, {}
         previously_held, self.held = (
             self.held,
-            {candidate for candidate in range(SHARDS) if self.name in self._holders(candidate)},
+            {candidate for candidate in range(SHARD_COUNT) if self.name in self._holders(candidate)},
         )
         for shard in previously_held - self.held:
             if self.store.digest(shard):
@@ -174,11 +174,11 @@
         }
         # Own rows are sent again if none of their new holders has acknowledged them: otherwise they would be
         # lost when all of their holders have left.
-        others = {shard: set(self._others(shard)) for shard in range(SHARDS)}
+        others = {shard: set(self._others(shard)) for shard in range(SHARD_COUNT)}
         changed = {
             shard for shard in others if others[shard] and self.holders[shard] != previous_holders.get(shard)
         }
-        for name in self.own:
+        for name in self.own_rows:
             shard = shard_of(*name[:2])
             if shard in changed and others[shard].isdisjoint(self.acknowledged.get(name, ())):
                 self.unsent.setdefault(name, 1.0)
@@ -192,9 +192,9 @@
         self.now = now
         name = (kind, key, self.name, self.start)
         # Not the store's row: the store drops shards that are held elsewhere.
-        previous = self.own.get(name)
+        previous = self.own_rows.get(name)
         version = previous.version if previous is not None else self.tombstones.get(name, (0.0, 0, ()))[1]
-        row = self.own[name] = Row(*name, version + 1, figures)
+        row = self.own_rows[name] = Row(*name, version + 1, figures)
         self.changed_at[name] = now
         if shard_of(kind, key) in self.held:
             self._note_changes(self.store.merge([row], "own"))
@@ -203,11 +203,11 @@
     def draw(self, now: float, customer: str, units: float) -> None:
         """Add units that this node drew of a customer."""
         name = (USE, customer, self.name, self.start)
-        row = self.own.get(name)
+        row = self.own_rows.get(name)
         before = row.figures if row is not None else self.tombstones.get(name, (0.0, 0, (0.0,)))[2]
         self.put(now, USE, customer, (max(0.0, before[0] + units),), abs(units))
 
-    def store_rows(self) -> list[Row]:
+    def all_rows(self) -> list[Row]:
         """All rows that are held here, to be saved in the folder."""
         return [row for shard in self.store.rows for row in self.store.shard(shard)]
 
@@ -220,39 +220,42 @@
         """Do what is due at `now`."""
         self.now = now
         self.byte_allowance = min(
-            self.terms.budget, self.byte_allowance + (now - self.allowance_at) * self.terms.budget
+            self.settings.bytes_per_s,
+            self.byte_allowance + (now - self.allowance_at) * self.settings.bytes_per_s,
         )
         self.allowance_at = now
         if now >= self.spread_at:
-            self.spread_at = now + self.terms.spread_s
+            self.spread_at = now + self.settings.spread_s
             self._send_changes()
         if now >= self.sweep_at:
-            self.sweep_at = now + self.terms.forget_s / 10
+            self.sweep_at = now + self.settings.forget_s / 10
             self._forget_unchanged()
         if now >= self.compare_at:
-            self.compare_at = now + self.terms.compare_s
+            self.compare_at = now + self.settings.compare_s
             self._compare()
-        if not self.caught_up and not self.cold and now - self.started_at > self.terms.cold_after_s:
+        if not self.caught_up and not self.cold and now - self.started_at > self.settings.cold_after_s:
             self.cold = True
             self.results.events.append(
                 ("cold", {"left": sum(not self._is_current(shard) for shard in self.held)})
             )
 
-    def hear(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
+    def receive(self, now: float, sender: str, call: str, args: tuple[Any, ...]) -> None:
         """Handle a message from `sender`."""
         self.now = now
         getattr(self, f"_on_{call}")(sender, *args)
 
-    def unheard(self, now: float) -> bool:
+    def lacks_acknowledgements(self, now: float) -> bool:
         """Whether a row of this node has waited long for acknowledgement by a majority of its holders."""
-        return any(now - sent_at > self.terms.again_s / 2 for _, sent_at, _, _ in self.sent.values())
+        return any(
+            now - sent_at > self.settings.retry_s / 2 for _, sent_at, _, _ in self.unacknowledged.values()
+        )
 
     # Sending changes.
 
     def _holders(self, shard: int) -> list[str]:
         nodes = self.holders.get(shard)
         if nodes is None:
-            nodes = holders_of(shard, self.members, self.terms.copies, self.zones)
+            nodes = holders_of(shard, self.members, self.settings.copies, self.zones)
             self.holders[shard] = nodes
         return nodes
 
@@ -265,7 +268,7 @@
 
         Anti-entropy does not repair such a loss: if the owner holds no replica, no holder can miss the row.
         """
-        for name, (first, _, last, last_sent_at) in list(self.sent.items()):
+        for name, (first, _, last, last_sent_at) in list(self.unacknowledged.items()):
             others, versions = self._others(shard_of(*name[:2])), self.acknowledged.get(name, {})
             by_majority = (
                 sorted((versions.get(node, 0) for node in others), reverse=True)[len(others) // 2]
@@ -273,16 +276,16 @@
                 else last
             )
             if by_majority >= last:
-                del self.sent[name]
+                del self.unacknowledged[name]
                 continue
             if by_majority >= first:
-                self.sent[name] = (last, last_sent_at, last, last_sent_at)
-            if self.now - last_sent_at > self.terms.again_s:
+                self.unacknowledged[name] = (last, last_sent_at, last, last_sent_at)
+            if self.now - last_sent_at > self.settings.retry_s:
                 self.unsent.setdefault(name, 1.0)
 
     def _on_took(self, sender: str, rows: list[tuple[str, str, int, int]]) -> None:
         for kind, key, start, version in rows:
-            if (name := (kind, key, self.name, start)) in self.own:
+            if (name := (kind, key, self.name, start)) in self.own_rows:
                 versions = self.acknowledged.setdefault(name, {})
                 versions[sender] = max(version, versions.get(sender, 0))
 
@@ -293,7 +296,7 @@
         for name in nlargest(
             int(self.byte_allowance / ROW_OVERHEAD_BYTES) + 1, self.unsent, key=self.unsent.__getitem__
         ):
-            row = self.own.get(name)
+            row = self.own_rows.get(name)
             others = self._others(shard_of(*name[:2]))
             if row is None:
                 del self.unsent[name]
@@ -305,11 +308,11 @@
             for node in others:
                 batches.setdefault(node, []).append(row)
             del self.unsent[name]
-            first, first_sent_at, *_ = self.sent.get(name, (row.version, self.now))
-            self.sent[name] = (first, first_sent_at, row.version, self.now)
+            first, first_sent_at, *_ = self.unacknowledged.get(name, (row.version, self.now))
+            self.unacknowledged[name] = (first, first_sent_at, row.version, self.now)
         for node, rows in batches.items():
-            for begin in range(0, len(rows), self.terms.chunk):
-                self._send(node, "rows", rows[begin : begin + self.terms.chunk])
+            for begin in range(0, len(rows), self.settings.max_items):
+                self._send(node, "rows", rows[begin : begin + self.settings.max_items])
         self._send_sums()
 
     # Sums of use, sent back to the nodes that draw.
@@ -326,7 +329,7 @@
         The first holder of the customer does so. Sums are totals, and are sent again until acknowledged.
         """
         for customer, by_node in self.unacknowledged_sums.items():
-            if any(self.now - sent_at > self.terms.again_s for _, sent_at in by_node.values()):
+            if any(self.now - sent_at > self.settings.retry_s for _, sent_at in by_node.values()):
                 self.changed_customers[customer] = None
         batches: dict[str, list[tuple[str, float]]] = {}
         for customer in list(islice(self.changed_customers, MAX_SUMS_PER_WAKE)):
@@ -357,8 +360,8 @@
                     batches.setdefault(node, []).append((customer, units))
                     self.unacknowledged_sums.setdefault(customer, {})[node] = (units, self.now)
         for node, sums in batches.items():
-            for begin in range(0, len(sums), self.terms.chunk):
-                self._send(node, "sums", sums[begin : begin + self.terms.chunk])
+            for begin in range(0, len(sums), self.settings.max_items):
+                self._send(node, "sums", sums[begin : begin + self.settings.max_items])
 
     def _on_sums(self, sender: str, sums: list[tuple[str, float]]) -> None:
         """Take over what others drew. A sum never decreases, so late messages do no harm."""
@@ -371,7 +374,7 @@
         self._send(sender, "summed", sums)
 
     def _raise_sum(self, customer: str, units: float) -> None:
-        if (USE, customer, self.name, self.start) in self.own and units > self.sums.get(customer, 0.0):
+        if (USE, customer, self.name, self.start) in self.own_rows and units > self.sums.get(customer, 0.0):
             self.sums[customer] = units
             self.results.sums.append((customer, units))
 
@@ -387,15 +390,15 @@
 
     def _forget_unchanged(self) -> None:
         """Drop rows that have not changed for long, such as those of inactive customers and dead starts."""
-        oldest = self.now - self.terms.forget_s
+        oldest = self.now - self.settings.forget_s
         unchanged = [name for name, last_change in self.changed_at.items() if last_change < oldest]
         for name in unchanged[:MAX_FORGOTTEN_PER_WAKE]:
             self._forget(name)
         if len(unchanged) > MAX_FORGOTTEN_PER_WAKE:
-            self.sweep_at = self.now + self.terms.spread_s
+            self.sweep_at = self.now + self.settings.spread_s
         for name, (forgotten_at, _, _) in list(self.tombstones.items()):
             # An owner keeps its tombstones for longer than all others do.
-            if forgotten_at < self.now - self.terms.forget_s * (
+            if forgotten_at < self.now - self.settings.forget_s * (
                 4 if name[2:] == (self.name, self.start) else 2
             ):
                 del self.tombstones[name]
@@ -403,11 +406,11 @@
     def _forget(self, name: tuple[str, str, str, int]) -> None:
         """Drop a row and leave a tombstone."""
         self.changed_at.pop(name, None)
-        row = self.own.pop(name, None) or self.store.get(*name)
+        row = self.own_rows.pop(name, None) or self.store.get(*name)
         if row is not None:
             self.tombstones[name] = (self.now, row.version, row.figures)
             self.store.forget(name)
-        for table in (self.unsent, self.sent, self.acknowledged):
+        for table in (self.unsent, self.unacknowledged, self.acknowledged):
             table.pop(name, None)
         self.unacknowledged_sums.pop(name[1], None)
         if name[2:] == (self.name, self.start):
@@ -462,14 +465,14 @@
 
     def _check_own(self, row: Row, sender: str) -> None:
         """Correct a replica of an own row that differs: the owner sends its row with a higher version."""
-        current = self.own.get(row.name)
+        current = self.own_rows.get(row.name)
         if (
             current is not None
             and not row.problem()
             and (row.version > current.version or row.version == current.version and row != current)
         ):
             self.store.quarantine = [*self.store.quarantine, (sender, row)][-1000:]
-            self.own[row.name] = corrected = current._replace(version=row.version + 1)
+            self.own_rows[row.name] = corrected = current._replace(version=row.version + 1)
             self.changed_at[row.name] = self.now
             self.store.merge([corrected], "own")
             self.unsent[row.name] = 1.0
@@ -563,9 +566,11 @@
             self._send(sender, "offer", shard, self.store.digest(shard), offered)
             return
         for position, in_bucket in names.items():
-            chunk, complete = self.terms.chunk, len(in_bucket) <= self.terms.chunk
-            for begin in range(0, max(1, len(in_bucket)), chunk):
-                self._send(sender, "versions", shard, position, in_bucket[begin : begin + chunk], complete)
+            max_items, complete = self.settings.max_items, len(in_bucket) <= self.settings.max_items
+            for begin in range(0, max(1, len(in_bucket)), max_items):
+                self._send(
+                    sender, "versions", shard, position, in_bucket[begin : begin + max_items], complete
+                )
 
     def _on_versions(
         self,
@@ -598,8 +603,8 @@
             missing = equal  # equal names and versions under different digests: rows are in conflict
         if missing:
             self._send(sender, "fetch", shard, missing)
-        for begin in range(0, len(newer_here), self.terms.chunk):
-            self._send(sender, "rows", newer_here[begin : begin + self.terms.chunk])
+        for begin in range(0, len(newer_here), self.settings.max_items):
+            self._send(sender, "rows", newer_here[begin : begin + self.settings.max_items])
 
     def _on_fetch(self, sender: str, shard: int, names: list[tuple[str, str, str, int]]) -> None:
         rows = [row for name in names if (row := self.store.get(*name)) is not None]
--- a/merlintally/cluster/copies/store.py
+++ b/merlintally/cluster/copies/store.py
@@ -26,7 +26,7 @@
 MAX_VALUE = 1e12
 BUCKETS = 16  # per shard; replicas of a shard are compared bucket by bucket
 
-MISTAKES = (  # faults that tests inject by name
+INJECTED_FAULTS = (  # faults that tests inject by name
     "a merge that adds",
     "a start is forgotten",
     "an older version taken",
--- a/merlintally/cluster/core.py
+++ b/merlintally/cluster/core.py
@@ -17,19 +17,19 @@
 from merlintally.cluster import UNWELL, agreement, copies, members
 from merlintally.cluster.agreement import Config, Entry, Kept, Pace, Raft
 from merlintally.cluster.agreement.log import CONFIG, DATA, config_of
-from merlintally.cluster.copies import Copies, Row
+from merlintally.cluster.copies import Replicator, Row
 from merlintally.cluster.members import Members, Rhythm
 from merlintally.cluster.members.core import DEAD, LEFT, START, STATES, SUSPECT
-from merlintally.cluster.work.coordinator import Coordinator, Report, Terms, lost
-from merlintally.cluster.work.edge import Edge
-from merlintally.cluster.work.order import Seen
-from merlintally.cluster.work.parts import share_of
-from merlintally.cluster.work.state import entry, work_of
+from merlintally.cluster.work.coordinator import Coordinator, MaintenanceTiming, Report, lost_machines
+from merlintally.cluster.work.edge import EdgePermissions
+from merlintally.cluster.work.order import FleetView
+from merlintally.cluster.work.parts import drawable_share
+from merlintally.cluster.work.state import decode_work, entry
 
 FORMS: dict[str, Any] = {
     **{f"r.{call}": form for call, form in agreement.FORMS.items()},
     **{f"m.{call}": form for call, form in members.FORMS.items()},
-    **{f"c.{call}": form for call, form in copies.FORMS.items()},
+    **{f"c.{call}": form for call, form in copies.MESSAGE_TYPES.items()},
     "w.renew": tuple[float, Report, bool],  # when it was asked, what the node tells, whether it is blank
     "w.right": tuple[
         float, int, bytes, list[tuple[int, Entry]]
@@ -59,8 +59,8 @@
     seeds: dict[str, str]
     pace: Pace = Pace()
     rhythm: Rhythm = Rhythm()
-    terms: Terms = Terms()
-    copies: copies.Terms | None = None  # None: no state is copied
+    terms: MaintenanceTiming = MaintenanceTiming()
+    copies: copies.ReplicationSettings | None = None  # None: no state is copied
 
 
 @dataclass(slots=True)
@@ -109,14 +109,14 @@
         self.members = Members(
             me.name, me.address, plan.seeds, me.start, plan.rhythm, Random(random.random()), now, mistakes
         )
-        self.work = work_of(kept.snapshot.data)
+        self.work = decode_work(kept.snapshot.data)
         self.work.index = max(self.work.index, kept.snapshot.upto)
         self.work.voters = self.work.voters or plan.voters
-        self.edge = Edge(me.name, me.start, self.work, mistakes)
-        self.copies: Copies | None = None
+        self.edge = EdgePermissions(me.name, me.start, self.work, mistakes)
+        self.copies: Replicator | None = None
         if plan.copies is not None:
             chance = Random(random.random())
-            self.copies = Copies(me.name, me.start, plan.copies, chance, now, rows, mistakes)
+            self.copies = Replicator(me.name, me.start, plan.copies, chance, now, rows, mistakes)
             self._follow_copies()
         self.local = Local()
         self.coordinator: Coordinator | None = None
@@ -149,9 +149,11 @@
     def share(self, customer: str, now: float) -> int:
         """What this node may draw of a customer's ceiling now, in thousandths."""
         edge, terms = self.edge, self.plan.terms
-        leased = now < edge.until + terms.lease_s
-        knows = edge.caught_up and not edge.said_gone
-        return share_of(self.work.parts, customer, self.me.name, terms.even, leased, knows, self.mistakes)
+        leased = now < edge.leased_from + terms.lease_s
+        knows = edge.caught_up and not edge.declared_gone
+        return drawable_share(
+            self.work.parts, customer, self.me.name, terms.even_share, leased, knows, self.mistakes
+        )
 
     @property
     def leads(self) -> bool:
@@ -215,7 +217,7 @@
             "leads": self.leads,
             "blank": self.raft.blank,
             "caught_up": self.edge.caught_up,
-            "lease_left_s": round(self.edge.until + self.plan.terms.lease_s - now, 3),
+            "lease_left_s": round(self.edge.leased_from + self.plan.terms.lease_s - now, 3),
             "voters": list(self.raft.config.voters),
             "learners": list(self.raft.config.learners),
             "members": {name: STATES[one.state] for name, one in sorted(self.members.known.items())},
@@ -230,7 +232,7 @@
                 for turn in work.turns.values()
             ],
             "next": led.choice.machine if led is not None else "",
-            "why_not": dict(led.choice.why) if led else {},
+            "why_not": dict(led.choice.reasons) if led else {},
             "overdue": led.overdue(now, work) if led is not None else [],
             "requests": [
                 {
@@ -268,7 +270,7 @@
                 "rows": len(one.store),
                 "shards": len(one.held),
                 "unsent": len(one.unsent),
-                "unanswered": len(one.sent),
+                "unanswered": len(one.unacknowledged),
                 "leaving": len(one.leaving),
                 "quarantined": len(one.store.quarantine),
                 "refused": one.store.refused,
@@ -283,15 +285,15 @@
         all of them go by the counter, and against two sides that each count as hearing all."""
         one, known = self.copies, self.members.known.values()
         unwell = sum(member.state in (SUSPECT, DEAD) for member in known)
-        leased = now < self.edge.until + self.plan.terms.lease_s
+        leased = now < self.edge.leased_from + self.plan.terms.lease_s
         if one is None or not leased or unwell > UNWELL * len(known):
             return False
-        return one.caught_up and not one.unheard(now)
+        return one.caught_up and not one.lacks_acknowledgements(now)
 
     def _follow_copies(self) -> None:
         assert self.copies is not None
         zones = {edge: row.zone for row in self.work.machines.values() for edge in row.edges}
-        self.copies.follow(self.now, self.members.alive(), zones)
+        self.copies.set_members(self.now, self.members.alive(), zones)
 
     def take_results(self) -> Results:
         found = self.out
@@ -356,7 +358,7 @@
             self.members.hear(now, sender, name, args)
         elif part == "c":
             if self.copies is not None:
-                self.copies.hear(now, sender, name, args)
+                self.copies.receive(now, sender, name, args)
         else:
             getattr(self, f"_on_{name}")(sender, *args)
 
@@ -448,7 +450,7 @@
         for node, sent, report, blank in self.rounds.pop(token, []):
             if self.coordinator is not None:
                 self.coordinator.renewed(self.now, node, report)
-                (self.coordinator.blank.add if blank else self.coordinator.blank.discard)(node)
+                (self.coordinator.without_log.add if blank else self.coordinator.without_log.discard)(node)
             state, entries = b"", list[tuple[int, Entry]]()
             if report.acts_on < self.raft.log.snapshot.upto:
                 state = self.work.encode()
@@ -502,7 +504,7 @@
                 "number": turn.number if turn else 0,
                 "state": turn.state if turn else "",
                 "waits": led.waits.get(machine, "") if led else "",
-                "why_not": led.choice.why.get(machine, "") if led else "",
+                "why_not": led.choice.reasons.get(machine, "") if led else "",
                 "asked_for": any(
                     machine in one.machines and machine not in one.done and one.state != "cancelled"
                     for one in self.work.requests.values()
@@ -532,15 +534,15 @@
         if index != self.work.index + 1:
             return
         if one.kind == DATA:
-            id_, why = self.work.take(index, one.data, self.mistakes)
+            id_, why = self.work.apply(index, one.data, self.mistakes)
             if (asked := self.asked.get(id_)) is not None:
                 del self.asked[id_]
                 self._answer(id_, asked[0], not why, why)
             self.events.append(("committed", {"index": index, "void": why, "what": id_}))
-            self.edge.follow(self.work)
+            self.edge.set_work(self.work)
             self.changed = True
             if self.coordinator is not None and self.leads:
-                for node in self.coordinator.heard:
+                for node in self.coordinator.reports:
                     if node != self.me.name:
                         self.out.sends.append((node, "w.news", (index,)))
         elif one.kind == CONFIG:
@@ -548,12 +550,12 @@
         self.work.index = index
 
     def _restore(self, data: bytes, upto: int) -> None:
-        found = work_of(data)
+        found = decode_work(data)
         found.index = max(found.index, upto)
         found.voters = found.voters or self.plan.voters
         if found.index > self.work.index:
             self.work = found
-            self.edge.follow(found)
+            self.edge.set_work(found)
             self.changed = True
             self.events.append(("committed", {"index": found.index, "void": "", "what": "snapshot"}))
 
@@ -591,12 +593,12 @@
                 if index:
                     self.proposed[key] = index
 
-    def _seen(self) -> Seen:
+    def _seen(self) -> FleetView:
         assert self.coordinator is not None
         recent = [
             one.report
-            for one in self.coordinator.heard.values()
-            if self.now - one.at < 3 * self.plan.terms.renew_s
+            for one in self.coordinator.reports.values()
+            if self.now - one.received_at < 3 * self.plan.terms.renew_s
         ]
         dead = [
             name
@@ -608,8 +610,12 @@
             for pool, rate in report.rates.items():
                 rates[pool] = rates.get(pool, 0.0) + rate
         voters = frozenset(self.raft.config.voters)
-        return Seen(
-            lost(self.work, dead, recent), rates, voters, self.me.name, voters & self.coordinator.blank
+        return FleetView(
+            lost_machines(self.work, dead, recent),
+            rates,
+            voters,
+            self.me.name,
+            voters & self.coordinator.without_log,
         )
 
     def _hand_on(self) -> None:
@@ -658,7 +664,7 @@
         return raft.change(self.now, wanted)
 
     def _too_few(self, wanted: Config) -> bool:
-        out = self.work.beyond_call()
+        out = self.work.granted_machines()
         return bool(set(wanted.voters) & self._busy() and self.work.too_few_voters(out, wanted.voters))
 
     def _busy(self) -> set[str]:
--- a/merlintally/cluster/members/__init__.py
+++ b/merlintally/cluster/members/__init__.py
@@ -1,5 +1,5 @@
 """Who is there (SWIM with Lifeguard's additions), without input or output: see docs/members.md."""
 
-from merlintally.cluster.members.core import FORMS, MISTAKES, Member, Members, Rhythm
+from merlintally.cluster.members.core import FORMS, INJECTED_FAULTS, Member, Members, Rhythm
 
-__all__ = ["FORMS", "MISTAKES", "Member", "Members", "Rhythm"]
+__all__ = ["FORMS", "INJECTED_FAULTS", "Member", "Members", "Rhythm"]
--- a/merlintally/cluster/members/core.py
+++ b/merlintally/cluster/members/core.py
@@ -28,7 +28,7 @@
     "state": tuple[bool, list[News]],  # all that the sender knows; whether it wants the same
 }
 
-MISTAKES = (  # planted by name, in tests only
+INJECTED_FAULTS = (  # planted by name, in tests only
     "old news taken",
     "dead returns by the same incarnation",
     "suspicion is not refuted",
--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -19,14 +19,14 @@
 
 from merlintally.cluster import FELLOWS
 from merlintally.cluster.agreement import Pace
-from merlintally.cluster.copies import Terms as CopyTerms
+from merlintally.cluster.copies import ReplicationSettings
 from merlintally.cluster.core import STREAMED, Cluster, Local, Me, Plan
 from merlintally.cluster.disk import Disk, Full
 from merlintally.cluster.links import Links
 from merlintally.cluster.members import Rhythm
 from merlintally.cluster.record import Record
-from merlintally.cluster.work.coordinator import Terms
-from merlintally.cluster.work.state import GRANTED, OUT, RETURNING, most
+from merlintally.cluster.work.coordinator import MaintenanceTiming
+from merlintally.cluster.work.state import GRANTED, OUT, RETURNING, limit_of
 from merlintally.net.configuration import Address, address
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
@@ -50,8 +50,10 @@
         dict(part.seeds),
         Pace(heartbeat_s=part.heartbeat_s, election_s=part.election_s),
         Rhythm(period_s=part.period_s, answer_s=0.3 * part.period_s),
-        Terms(part.lease_s, part.renew_s, part.drift_share, part.warm_s, part.longest_s),
-        CopyTerms(part.copies, part.copy_bytes_s, cold_after_s=part.copy_cold_s, forget_s=part.copy_forget_s)
+        MaintenanceTiming(part.lease_s, part.renew_s, part.drift_share, part.warm_s, part.longest_s),
+        ReplicationSettings(
+            part.copies, part.copy_bytes_s, cold_after_s=part.copy_cold_s, forget_s=part.copy_forget_s
+        )
         if part.copies
         else None,
     )
@@ -202,7 +204,7 @@
         self._drawn(now)
         self.core.local = Local(busy, not self.dispatcher.open_requests, off, self.rates)
         self.core.wake(now)
-        careful = now >= self.core.edge.until + self.part.lease_s
+        careful = now >= self.core.edge.leased_from + self.part.lease_s
         if careful != self.careful:
             self.careful = careful
             self._tell("careful", {"thing": "work"}) if careful else self._tell_acts()
@@ -261,7 +263,7 @@
             copies = self.core.copies
             if copies is not None and self.able:
                 with suppress(OSError):
-                    await anyio.to_thread.run_sync(self.disk.keep, copies.store_rows())
+                    await anyio.to_thread.run_sync(self.disk.keep, copies.all_rows())
 
     async def _write(self) -> None:
         """Rows go to disk in batches, in a thread; what is promised waits for it."""
@@ -366,9 +368,9 @@
                         "most": {}
                         if limits is None
                         else {
-                            "total": most(limits.total, len(work.machines)),
-                            "pool": most(limits.pool, sum(one.pool == machine.pool for one in rows)),
-                            "zone": most(limits.zone, sum(one.zone == machine.zone for one in rows)),
+                            "total": limit_of(limits.total, len(work.machines)),
+                            "pool": limit_of(limits.pool, sum(one.pool == machine.pool for one in rows)),
+                            "zone": limit_of(limits.zone, sum(one.zone == machine.zone for one in rows)),
                         },
                     },
                 )
--- a/merlintally/cluster/work/__init__.py
+++ b/merlintally/cluster/work/__init__.py
@@ -3,22 +3,30 @@
 See docs/work-order.md.
 """
 
-from merlintally.cluster.work.coordinator import Coordinator, Report, Terms
-from merlintally.cluster.work.order import Choice, Seen, next_turn
-from merlintally.cluster.work.state import MISTAKES, Budget, Machine, Request, Turn, Work, machines_of
+from merlintally.cluster.work.coordinator import Coordinator, MaintenanceTiming, Report
+from merlintally.cluster.work.order import Choice, FleetView, next_turn
+from merlintally.cluster.work.state import (
+    INJECTED_FAULTS,
+    Budget,
+    Machine,
+    Request,
+    Turn,
+    Work,
+    machines_by_name,
+)
 
 __all__ = [
-    "MISTAKES",
+    "INJECTED_FAULTS",
     "Budget",
     "Choice",
     "Coordinator",
     "Machine",
     "Report",
     "Request",
-    "Seen",
-    "Terms",
+    "FleetView",
+    "MaintenanceTiming",
     "Turn",
     "Work",
-    "machines_of",
+    "machines_by_name",
     "next_turn",
 ]
--- a/merlintally/cluster/work/coordinator.py
+++ b/merlintally/cluster/work/coordinator.py
@@ -12,18 +12,18 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from merlintally.cluster.work.order import Choice, Seen, next_turn
+from merlintally.cluster.work.order import Choice, FleetView, next_turn
 from merlintally.cluster.work.parts import NodeStatus, next_loan_entries
 from merlintally.cluster.work.state import CALLED, GRANTED, OUT, Machine, Turn, Work
 
 
-class Terms(NamedTuple):
+class MaintenanceTiming(NamedTuple):
     """Times of leases and maintenance, in seconds.
 
     A node's lease lasts `lease_s` by its own clock, from the moment when it sent the renewal. `drift` is the
     largest share by which a clock may run fast or slow. `warm_s`: slow start of a returning machine's
     servers. `longest_s`: the longest that an execution may take, which is the longest hard limit.
-    `even`: a node's even share of a ceiling in thousandths, 0 if no shares are lent.
+    `even_share`: a node's even share of a ceiling in thousandths, 0 if no shares are lent.
     """
 
     lease_s: float = 3.0
@@ -31,10 +31,10 @@
     drift: float = 0.02
     warm_s: float = 15.0
     longest_s: float = 6.0
-    even: int = 0
+    even_share: int = 0
 
     @property
-    def silent_s(self) -> float:
+    def expiry_s(self) -> float:
         """Time after its last renewal when a node certainly has no lease and no execution in flight.
 
         Includes the longest execution, as one may be sent in the last moment of the lease.
@@ -61,13 +61,13 @@
     wants: dict[str, int] = {}
 
 
-class Heard:
+class ReceivedReport:
     """A node's last report and when it was received."""
 
-    __slots__ = ("report", "at")
+    __slots__ = ("report", "received_at")
 
-    def __init__(self, report: Report, at: float) -> None:
-        self.report, self.at = report, at
+    def __init__(self, report: Report, received_at: float) -> None:
+        self.report, self.received_at = report, received_at
 
 
 class Coordinator:
@@ -77,30 +77,30 @@
     """
 
     def __init__(
-        self, name: str, timing: Terms, now: float, injected_faults: frozenset[str] = frozenset()
+        self, name: str, timing: MaintenanceTiming, now: float, injected_faults: frozenset[str] = frozenset()
     ) -> None:
         self.name, self.timing, self.started_at, self.injected_faults = name, timing, now, injected_faults
-        self.heard: dict[str, Heard] = {}  # by node
+        self.reports: dict[str, ReceivedReport] = {}  # by node
         self.entered_at: dict[tuple[int, str], float] = {}  # turn number and state -> when first observed
         self.choice = Choice()
         self.waits: dict[str, str] = {}  # machine with a turn -> what the turn waits for
         self.nodes_out: set[str] = set()  # edge nodes of machines that are out
-        self.blank: set[str] = set()  # nodes that report that they have lost their log
+        self.without_log: set[str] = set()  # nodes that report that they have lost their log
 
     def renewed(self, now: float, node: str, report: Report) -> None:
         """Record the report of a node whose lease is renewed; reports of its earlier starts are ignored."""
-        previous = self.heard.get(node)
+        previous = self.reports.get(node)
         if previous is None or report.start >= previous.report.start:
-            self.heard[node] = Heard(report, now)
+            self.reports[node] = ReceivedReport(report, now)
 
     def lease_expired(self, node: str, now: float) -> bool:
         """Whether the node's lease has expired for certain, even if an earlier leader renewed it last."""
         if "a silent node is clear at once" in self.injected_faults:
-            return node not in self.heard or now - self.heard[node].at > self.timing.renew_s
-        renewed_at = self.heard[node].at if node in self.heard else self.started_at
-        return now - max(renewed_at, self.started_at) > self.timing.silent_s
+            return node not in self.reports or now - self.reports[node].received_at > self.timing.renew_s
+        renewed_at = self.reports[node].received_at if node in self.reports else self.started_at
+        return now - max(renewed_at, self.started_at) > self.timing.expiry_s
 
-    def step(self, now: float, work: Work, seen: Seen) -> tuple[list[tuple[Any, ...]], bool]:
+    def step(self, now: float, work: Work, view: FleetView) -> tuple[list[tuple[Any, ...]], bool]:
         """The entries to propose now, as verb and arguments, and whether to transfer leadership first."""
         entries: list[tuple[Any, ...]] = []
         transfer = False
@@ -117,7 +117,7 @@
                 continue
             if turn.state == CALLED:
                 waits = self._call_unconfirmed(now, work, turn, machine) or self._lacks_voters(
-                    work, machine, seen
+                    work, machine, view
                 )
                 if not waits and self.name in machine.edges:
                     transfer, waits = True, "leadership is transferred first"
@@ -134,12 +134,12 @@
                 if not waits or "returning does not count" in self.injected_faults:
                     entries.append(("back", turn.number, turn.machine))
             self.waits[turn.machine] = waits
-        self.choice = next_turn(work, seen)
+        self.choice = next_turn(work, view)
         if self.choice.machine:
             entries.append(("call", work.number + 1, self.choice.machine, self.choice.request))
-        if self.timing.even:
+        if self.timing.even_share:
             entries += next_loan_entries(
-                work.parts, self._node_statuses(now, work), self.timing.even, self.injected_faults
+                work.parts, self._node_statuses(now, work), self.timing.even_share, self.injected_faults
             )
         current = {(turn.number, turn.state) for turn in work.turns.values()}
         self.entered_at = {key: at for key, at in self.entered_at.items() if key in current}
@@ -153,7 +153,7 @@
         """
         statuses = {
             node: NodeStatus(last.report.acts_on, self.lease_expired(node, now), last.report.wants)
-            for node, last in self.heard.items()
+            for node, last in self.reports.items()
         }
         for loan in work.parts.loans.values():
             for node in (loan.lender, loan.borrower):
@@ -170,7 +170,7 @@
         ]
 
     def _nodes(self, work: Work) -> Iterable[str]:
-        return sorted(work.edges() | set(self.heard))
+        return sorted(work.edges() | set(self.reports))
 
     def _cannot_send(self, work: Work, node: str, machine: Machine) -> bool:
         """Whether a node certainly sends nothing to the machine, without a report from it.
@@ -179,7 +179,7 @@
         flight, and accepts nothing until it has applied the end of its turn and so all earlier entries.
         Otherwise every turn would wait for nodes that are switched off.
         """
-        last = self.heard.get(node)
+        last = self.reports.get(node)
         if node in self.nodes_out and not machine.refuge:
             return True
         return node in work.gone and (last is None or last.report.start <= work.gone[node])
@@ -191,7 +191,7 @@
         """
         has_refuge, listed = any(other.refuge for other in work.machines.values()), work.edges()
         for node in self._nodes(work):
-            last = self.heard.get(node)
+            last = self.reports.get(node)
             if (
                 last is not None
                 and last.report.acts_on >= turn.called_at
@@ -205,16 +205,18 @@
             return f"{node} has not applied the call"
         return ""
 
-    def _lacks_voters(self, work: Work, machine: Machine, seen: Seen) -> str:
+    def _lacks_voters(self, work: Work, machine: Machine, view: FleetView) -> str:
         """Why too few voters would be left, or "". Voters that were lost since the call count as absent."""
-        if not seen.voters & set(machine.edges) or "voters are not counted" in self.injected_faults:
+        if not view.voters & set(machine.edges) or "voters are not counted" in self.injected_faults:
             return ""
-        return work.too_few_voters(work.beyond_call() | seen.lost | {machine.name}, seen.voters, seen.blank)
+        return work.too_few_voters(
+            work.granted_machines() | view.lost | {machine.name}, view.voters, view.without_log
+        )
 
     def _not_drained(self, now: float, work: Work, turn: Turn, machine: Machine) -> str:
         """Which node may still send to the machine or wait for its answers, or ""."""
         for node in self._nodes(work):
-            last = self.heard.get(node)
+            last = self.reports.get(node)
             if self._cannot_send(work, node, machine) or self.lease_expired(node, now):
                 continue
             if last is None:
@@ -241,13 +243,15 @@
         have been listed for the slow start's time.
         """
         for node in machine.edges:
-            last = self.heard.get(node)
-            if last is None or now - last.at > 3 * self.timing.renew_s:
+            last = self.reports.get(node)
+            if last is None or now - last.received_at > 3 * self.timing.renew_s:
                 return f"{node} has not reported"
             if last.report.acts_on < turn.changed_at:
                 return f"{node} has not caught up"
         recent = [
-            latest.report for latest in self.heard.values() if now - latest.at <= 3 * self.timing.renew_s
+            latest.report
+            for latest in self.reports.values()
+            if now - latest.received_at <= 3 * self.timing.renew_s
         ]
         unlisted = Counter(server for report in recent for server in report.off)
         for server in machine.servers:
@@ -260,7 +264,7 @@
         return ""
 
 
-def lost(work: Work, dead: Iterable[str], reports: Iterable[Report]) -> frozenset[str]:
+def lost_machines(work: Work, dead: Iterable[str], reports: Iterable[Report]) -> frozenset[str]:
     """Machines that are out without a turn: one of their nodes is dead, or a majority misses a server."""
     recent = list(reports)
     unlisted, dead_nodes = Counter(server for report in recent for server in report.off), set(dead)
--- a/merlintally/cluster/work/edge.py
+++ b/merlintally/cluster/work/edge.py
@@ -8,25 +8,25 @@
 from merlintally.cluster.work.state import CALLED, GRANTED, OUT, RETURNING, Machine, Work
 
 
-class Edge:
+class EdgePermissions:
     """One node's permissions.
 
-    `until` is when the node sent its last confirmed renewal, by its own clock. The lease counts from
-    then and not from the leader's answer, and is valid before `until + lease_s`.
+    `leased_from` is when the node sent its last confirmed renewal, by its own clock. The lease counts from
+    then and not from the leader's answer, and is valid before `leased_from + lease_s`.
     """
 
     def __init__(
         self, name: str, start: int, work: Work, injected_faults: frozenset[str] = frozenset()
     ) -> None:
         self.name, self.start, self.injected_faults = name, start, injected_faults
-        self.until = 0.0
+        self.leased_from = 0.0
         self.caught_up = "a restart forgets its turn" in injected_faults
         self.machines: dict[str, Machine] = {}  # by app server
         self.own_machine: Machine | None = None
         self.has_refuge = False
-        self.follow(work)
+        self.set_work(work)
 
-    def follow(self, work: Work) -> None:
+    def set_work(self, work: Work) -> None:
         """Use this state from now on; to be called after each change."""
         self.work = work
         self.machines = {server: machine for machine in work.machines.values() for server in machine.servers}
@@ -41,31 +41,31 @@
         renewed_at = now if "the lease is counted from its receipt" in self.injected_faults else sent
         if self.work.index >= index:
             self.caught_up = True
-            self.until = max(self.until, renewed_at)
+            self.leased_from = max(self.leased_from, renewed_at)
 
     def may_take(self, now: float, lease_s: float = 0.0) -> bool:
         """Whether a new submission may be accepted."""
-        if not self.caught_up or self.said_gone or (self.work.machines and self.own_machine is None):
+        if not self.caught_up or self.declared_gone or (self.work.machines and self.own_machine is None):
             return False
         turn = self.work.turns.get(self.own_machine.name) if self.own_machine is not None else None
         if turn is None or turn.state == RETURNING:
             return True
-        return turn.state == CALLED and now < self.until + lease_s
+        return turn.state == CALLED and now < self.leased_from + lease_s
 
     def may_send(self, server: str, now: float, lease_s: float) -> bool:
         """Whether a new execution may be sent to an app server. Servers of no listed machine are allowed."""
-        if not self.caught_up or self.said_gone or (self.work.machines and self.own_machine is None):
+        if not self.caught_up or self.declared_gone or (self.work.machines and self.own_machine is None):
             return False
         machine = self.machines.get(server)
         if machine is None:
             return True
         turn = self.work.turns.get(machine.name)
         if turn is None or turn.state == RETURNING:
-            return not self.has_refuge or machine.refuge or now < self.until + lease_s
-        return turn.state == CALLED and now < self.until + lease_s
+            return not self.has_refuge or machine.refuge or now < self.leased_from + lease_s
+        return turn.state == CALLED and now < self.leased_from + lease_s
 
     @property
-    def said_gone(self) -> bool:
+    def declared_gone(self) -> bool:
         """Whether an operator has declared this start of the node gone: turns no longer wait for it."""
         return self.work.gone.get(self.name, 0) >= self.start
 
--- a/merlintally/cluster/work/order.py
+++ b/merlintally/cluster/work/order.py
@@ -12,30 +12,30 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class FleetView:
     """The leader's current view of the fleet.
 
     `lost`: machines that are out without a turn, as their nodes are dead or flapping. `rates`: executions per
-    second, by pool. `voters`: names of edge nodes. `blank`: voters that have lost their log.
+    second, by pool. `voters`: names of edge nodes. `without_log`: voters that have lost their log.
     """
 
     lost: frozenset[str] = frozenset()
     rates: dict[str, float] = field(default_factory=dict)
     voters: frozenset[str] = frozenset()
     leader: str = ""
-    blank: frozenset[str] = frozenset()
+    without_log: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True)
 class Choice:
-    """The next machine and its request, "" if there is none; `why` has the reason for each other one."""
+    """The next machine and its request, "" if there is none; `reasons` has the reason for each other one."""
 
     machine: str = ""
     request: str = ""
-    why: dict[str, str] = field(default_factory=dict)
+    reasons: dict[str, str] = field(default_factory=dict)
 
 
-def next_turn(work: Work, seen: Seen) -> Choice:
+def next_turn(work: Work, view: FleetView) -> Choice:
     """Select the machine to call next among those of all open requests.
 
     Lost machines come first, as taking them out loses no further capacity; then machines of the zone that has
@@ -53,14 +53,14 @@
             if machine is None or name in request.done or name in work.turns:
                 continue
             if request.state == PAUSED:
-                choice.why[name] = f"{request.id} is paused"
-            elif why := _why_not(work, seen, machine, request, sizes):
-                choice.why[name] = why
+                choice.reasons[name] = f"{request.id} is paused"
+            elif why := _why_not(work, view, machine, request, sizes):
+                choice.reasons[name] = why
             else:
                 key = (
-                    name not in seen.lost,
+                    name not in view.lost,
                     machine.zone not in zones,
-                    seen.leader in machine.edges,
+                    view.leader in machine.edges,
                     request_position,
                     machine_position,
                 )
@@ -69,30 +69,30 @@
         _, choice.machine, choice.request = min(candidates)
         for _, name, _ in candidates:
             if name != choice.machine:
-                choice.why[name] = f"{choice.machine} goes first"
+                choice.reasons[name] = f"{choice.machine} goes first"
     return choice
 
 
 def _why_not(
-    work: Work, seen: Seen, machine: Machine, request: Request, sizes: Counter[tuple[str, str]]
+    work: Work, view: FleetView, machine: Machine, request: Request, sizes: Counter[tuple[str, str]]
 ) -> str:
     """Why the machine can't be called now, or ""."""
     for budget in work.budgets(request):
-        if why := work.over_budget(machine, budget, seen.lost, sizes=sizes):
+        if why := work.over_budget(machine, budget, view.lost, sizes=sizes):
             return why
-    out = {turn.machine for turn in work.turns.values()} | seen.lost | {machine.name}
-    if seen.voters & set(machine.edges) and (why := work.too_few_voters(out, seen.voters, seen.blank)):
+    out = {turn.machine for turn in work.turns.values()} | view.lost | {machine.name}
+    if view.voters & set(machine.edges) and (why := work.too_few_voters(out, view.voters, view.without_log)):
         return why
-    return _too_busy(work, seen, machine, out)
+    return _too_busy(work, view, machine, out)
 
 
-def _too_busy(work: Work, seen: Seen, machine: Machine, out: Iterable[str]) -> str:
+def _too_busy(work: Work, view: FleetView, machine: Machine, out: Iterable[str]) -> str:
     """Why the pool would lack capacity without the machine, or "". Returning machines count as out."""
-    rate, absent = seen.rates.get(machine.pool, 0.0), set(out)
+    rate, absent = view.rates.get(machine.pool, 0.0), set(out)
     with_capacity = [
         other for other in work.machines.values() if other.pool == machine.pool and other.bears > 0
     ]
-    if machine.bears <= 0 or machine.name in seen.lost or not with_capacity:
+    if machine.bears <= 0 or machine.name in view.lost or not with_capacity:
         return ""
     capacity = sum(other.bears for other in with_capacity if other.name not in absent)
     if rate > MAX_LOAD_SHARE * capacity:
--- a/merlintally/cluster/work/parts.py
+++ b/merlintally/cluster/work/parts.py
@@ -12,14 +12,14 @@
 
 from msgspec import Struct, field
 
-WHOLE = 1000  # thousandths of a ceiling
+WHOLE_CEILING = 1000  # thousandths of a ceiling
 # States of a loan.
 ASKED = "asked"
 LENT = "lent"
 RECALLED = "recalled"
 MAX_LOANS = 2000  # at once, of all customers
 
-MISTAKES = (  # faults that tests inject by name
+INJECTED_FAULTS = (  # faults that tests inject by name
     "lent before the lender has heard",
     "drawn after the lease",
     "given back before the borrower has ended",
@@ -81,7 +81,7 @@
     ) -> str:
         if number != self.number + 1:
             raise Refused(f"loan {number} does not follow {self.number}")
-        if lender == borrower or not 0 < share <= even_share <= WHOLE or len(self.loans) >= MAX_LOANS:
+        if lender == borrower or not 0 < share <= even_share <= WHOLE_CEILING or len(self.loans) >= MAX_LOANS:
             raise Refused(f"{customer}: {share} of {even_share} from {lender} to {borrower} can't be lent")
         if (
             share > self.own_share(customer, lender, even_share)
@@ -118,7 +118,7 @@
         return f"loan {number} is over"
 
 
-def share_of(
+def drawable_share(
     table: LoanTable,
     customer: str,
     node: str,
--- a/merlintally/cluster/work/state.py
+++ b/merlintally/cluster/work/state.py
@@ -31,9 +31,9 @@
 
 MAX_REMEMBERED_IDS = 1024
 MAX_HISTORY_LINES = 200
-LIMIT = re.compile(r"([1-9][0-9]{0,5})(%?)")
+LIMIT_PATTERN = re.compile(r"([1-9][0-9]{0,5})(%?)")
 
-MISTAKES = (  # faults that tests inject by name
+INJECTED_FAULTS = (  # faults that tests inject by name
     "old grant accepted",
     "budget looked at by the leader alone",
     "returning does not count",
@@ -100,19 +100,19 @@
     changed_at: int
 
 
-def most(limit: str, of: int) -> int:
+def limit_of(limit: str, of: int) -> int:
     """The number of machines that `limit` allows out of `of`; ValueError if it is malformed.
 
-    >>> most("2", 9), most("30%", 9), most("10%", 9)
+    >>> limit_of("2", 9), limit_of("30%", 9), limit_of("10%", 9)
     (2, 2, 0)
     """
-    match = LIMIT.fullmatch(limit)
+    match = LIMIT_PATTERN.fullmatch(limit)
     if match is None:
         raise ValueError(f"{limit!r} is neither a number nor a share like 10%")
     return int(match[1]) * of // 100 if match[2] else int(match[1])
 
 
-def machines_of(rows: Sequence[Machine]) -> dict[str, Machine]:
+def machines_by_name(rows: Sequence[Machine]) -> dict[str, Machine]:
     """The machines by name; ValueError naming the machine for duplicates and empty fields."""
     machines: dict[str, Machine] = {}
     carried_by: dict[str, str] = {}
@@ -133,7 +133,7 @@
 
 
 class Work(Struct):
-    """The replicated state. `take` applies one entry; entries must come in the order of the log."""
+    """The replicated state. `apply` applies one entry; entries must come in the order of the log."""
 
     machines: dict[str, Machine] = field(default_factory=dict)
     requests: dict[str, Request] = field(default_factory=dict)
@@ -153,7 +153,9 @@
         """The state as MessagePack, for snapshots and for nodes that lag behind."""
         return msgspec.msgpack.encode(self)
 
-    def take(self, index: int, data: bytes, injected_faults: frozenset[str] = frozenset()) -> tuple[str, str]:
+    def apply(
+        self, index: int, data: bytes, injected_faults: frozenset[str] = frozenset()
+    ) -> tuple[str, str]:
         """Apply the entry at `index`; return its id, and "" or why it is void.
 
         An entry whose id was applied before changes nothing and returns the first result. An entry that can't
@@ -246,7 +248,7 @@
             (("pool", pool), budget.pool, [other for other in machines_out if other.pool == pool]),
             (("zone", zone), budget.zone, [other for other in machines_out if other.zone == zone]),
         ):
-            if len(counted) + 1 > (allowed := most(limit, sizes[key])):
+            if len(counted) + 1 > (allowed := limit_of(limit, sizes[key])):
                 names = ", ".join(sorted(other.name for other in counted)[:4])
                 return f"{' '.join(('in', *key)).rstrip()} {len(counted)} out of at most {allowed}" + (
                     f" ({names})" if names else ""
@@ -258,7 +260,7 @@
             return f"work is in zone {', '.join(sorted(zones_with_turns))}, and never in two at once"
         return ""
 
-    def beyond_call(self) -> set[str]:
+    def granted_machines(self) -> set[str]:
         """Machines whose turn was granted, so that operators may already have started work on them."""
         return {turn.machine for turn in self.turns.values() if turn.state != CALLED}
 
@@ -302,7 +304,7 @@
 
     def _machines(self, by: str, rows: list[Any]) -> str:
         try:
-            listed = machines_of(msgspec.convert(rows, list[Machine]))
+            listed = machines_by_name(msgspec.convert(rows, list[Machine]))
         except (ValueError, msgspec.ValidationError) as error:
             raise Refused(str(error)) from None
         missing = sorted(name for name in self.turns if name not in listed)
@@ -343,7 +345,7 @@
             ("pool", budget.pool, sizes["pool", machine.pool]),
             ("zone", budget.zone, sizes["zone", machine.zone]),
         ):
-            if most(limit, size) < 1:
+            if limit_of(limit, size) < 1:
                 return f"{limit_name} {limit} of {size} is less than one machine"
         return ""
 
@@ -396,7 +398,7 @@
             raise Refused(f"{machine}: {request.id} is {request.state}")
         # Machines that are only called don't count here: otherwise two called machines could block each
         # other for good after a change of voters.
-        self._check_limits(machine, request, injected_faults, self.beyond_call())
+        self._check_limits(machine, request, injected_faults, self.granted_machines())
         return self._set_state(turn, GRANTED)
 
     def _out(self, number: int, machine: str, injected_faults: frozenset[str]) -> str:
@@ -467,6 +469,6 @@
     return msgspec.msgpack.encode((id_, verb, list(args)))
 
 
-def work_of(data: bytes) -> Work:
+def decode_work(data: bytes) -> Work:
     """Decode the result of `Work.encode`; empty bytes are the state before the first entry."""
     return msgspec.msgpack.decode(data, type=Work) if data else Work()
--- a/merlintally/lab/play/maintenance.py
+++ b/merlintally/lab/play/maintenance.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from merlintally.cluster.work import Budget, Machine, Request, Seen, Turn, Work, next_turn
+from merlintally.cluster.work import Budget, FleetView, Machine, Request, Turn, Work, next_turn
 from merlintally.lab.model.days import Trouble
 from merlintally.lab.model.servers import Server
 from merlintally.lab.play.troubles import Kind, restart, retire_for, revive
@@ -103,12 +103,12 @@
     limit = str(crew.most)
     work = Work(machines=machines)
     work.requests["r"] = Request("r", "crew", "work", tuple(machines), Budget(limit, limit, limit))
-    seen = Seen(rates={"p": day.traffic.submissions_per_s})
+    seen = FleetView(rates={"p": day.traffic.submissions_per_s})
     look = settled(world, crew, work, seen)
     look()
 
 
-def settled(world: World, crew: Crew, work: Work, seen: Seen) -> Callable[[], None]:
+def settled(world: World, crew: Crew, work: Work, seen: FleetView) -> Callable[[], None]:
     """The leader's look at who is back and who is next."""
     request = work.requests["r"]
 
--- a/merlintally/lab/scale/control_schedule.py
+++ b/merlintally/lab/scale/control_schedule.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from merlintally.cluster.copies import Terms as CopyTerms
+from merlintally.cluster.copies import ReplicationSettings
 from merlintally.cluster.core import STREAMED, Plan
 from merlintally.cluster.links import DECODERS, FORM, Codec, call_of
 from merlintally.cluster.members.core import DEAD, START, Member
@@ -122,7 +122,7 @@
             base.pace,
             base.rhythm,
             base.terms,
-            CopyTerms(copies) if copies else None,
+            ReplicationSettings(copies) if copies else None,
         )
         self.machines = {}
         self.metered = {name: MeteredNode(self, name, at) for at, name in enumerate(names)}
--- a/merlintally/lab/scale/slopes_agreed.py
+++ b/merlintally/lab/scale/slopes_agreed.py
@@ -13,12 +13,12 @@
 from statistics import median
 
 from merlintally.cluster.agreement import Kept
-from merlintally.cluster.copies import Copies, Terms
+from merlintally.cluster.copies import ReplicationSettings, Replicator
 from merlintally.cluster.core import STEP_S, Cluster, Me
 from merlintally.cluster.links import call_of
 from merlintally.cluster.node import plan_of
-from merlintally.cluster.work.coordinator import Heard, Report
-from merlintally.cluster.work.state import Machine, Work, machines_of, work_of
+from merlintally.cluster.work.coordinator import ReceivedReport, Report
+from merlintally.cluster.work.state import Machine, Work, decode_work, machines_by_name
 from merlintally.lab.scale.control_schedule import CODEC, rest_with_dead, sealed
 from merlintally.lab.scale.slope import Context, Costs, Derived, Slope
 from merlintally.operators import ClusterPart
@@ -57,7 +57,7 @@
 
 @cache
 def agreed(servers: int, context: Context) -> Work:
-    return Work(machines=machines_of(machine_list(servers, context)), index=1, listed_at=1)
+    return Work(machines=machines_by_name(machine_list(servers, context)), index=1, listed_at=1)
 
 
 # App servers that are on the list of machines, and that discovery does not list.
@@ -89,7 +89,7 @@
             break
     assert core.coordinator is not None, "a voter that is alone leads"
     core.work.machines = work.machines
-    core.edge.follow(core.work)
+    core.edge.set_work(core.work)
     return core, now
 
 
@@ -99,7 +99,7 @@
     core, now = leader_of(agreed(size.app_servers, context), context)
     assert core.coordinator is not None
     for at in range(1, size.edge_nodes):
-        core.coordinator.heard[f"edge-{at:04d}"] = Heard(report(off), now + 1.0)
+        core.coordinator.reports[f"edge-{at:04d}"] = ReceivedReport(report(off), now + 1.0)
     frame = renewal(off)
     read_s = median_time(lambda: call_of(CODEC.open(frame[HEAD:])), 50)
 
@@ -133,7 +133,7 @@
 
     def apply() -> None:
         _, (_, _, state, _) = call_of(CODEC.open(frame[HEAD:]))
-        core.edge.follow(work_of(state))
+        core.edge.set_work(decode_work(state))
 
     return median_time(apply)
 
@@ -156,13 +156,13 @@
 def follow_time(nodes: int, context: Context) -> float:
     names = [f"edge-{at:04d}" for at in range(nodes)]
     zones = {name: f"zone-{at % context.capacity.size.zones}" for at, name in enumerate(names)}
-    copies = Copies(names[0], 1, Terms(COPIES), Random(context.seed), 0.0)
-    copies.follow(0.0, names, zones)
+    copies = Replicator(names[0], 1, ReplicationSettings(COPIES), Random(context.seed), 0.0)
+    copies.set_members(0.0, names, zones)
     members = [names[:-1], names]
 
     def follow() -> None:
         members.reverse()
-        copies.follow(0.0, members[0], zones)
+        copies.set_members(0.0, members[0], zones)
 
     return median_time(follow)
 
--- a/merlintally/lab/scale/slopes_sums.py
+++ b/merlintally/lab/scale/slopes_sums.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from merlintally.cluster.copies import Copies, Terms
+from merlintally.cluster.copies import ReplicationSettings, Replicator
 from merlintally.cluster.links import Codec
 from merlintally.lab.scale.slope import Context, Slope
 from merlintally.lab.scale.workload import Arrivals, tenants_of, zone_name
@@ -44,11 +44,11 @@
         random = Random(context.seed)
         names = [f"n{number:03}" for number in range(nodes)]
         zones = {name: zone_name(number % size.zones) for number, name in enumerate(names)}
-        terms = Terms(copies=COPIES, budget=budget)
+        terms = ReplicationSettings(copies=COPIES, bytes_per_s=budget)
         self.now, self.rate, self.random = 1000.0, rate, random
-        self.copies = {name: Copies(name, 1, terms, Random(random.random()), self.now) for name in names}
+        self.copies = {name: Replicator(name, 1, terms, Random(random.random()), self.now) for name in names}
         for one in self.copies.values():
-            one.follow(self.now, names, zones)
+            one.set_members(self.now, names, zones)
             one.caught_up = True
         self.arrivals = Arrivals(tenants_of(size.tenants, rate * nodes), random)
         self.codec = Codec("scale", "secret")
@@ -80,7 +80,7 @@
         elif what[0] == "wake":
             one.wake(self.now)
         else:
-            one.hear(self.now, *what[1:])
+            one.receive(self.now, *what[1:])
         results = one.take_results()
         frames = [(to, call, args, self.codec.frame((call, args))) for to, call, args in results.sends]
         self.spent_s += time.process_time() - begun
--- a/merlintally/lab/schedules/copies.py
+++ b/merlintally/lab/schedules/copies.py
@@ -8,11 +8,11 @@
 from random import Random
 from typing import Any
 
-from merlintally.cluster.copies import Copies, Row, Terms, holders_of, shard_of
+from merlintally.cluster.copies import ReplicationSettings, Replicator, Row, holders_of, shard_of
 from merlintally.cluster.copies.store import USE
 from merlintally.lab.schedules.world import Drifting, Found, Judge, Verdict
 
-TERMS = Terms(spread_s=0.1, compare_s=0.05, chunk=20)
+TERMS = ReplicationSettings(spread_s=0.1, compare_s=0.05, max_items=20)
 LENGTH_S, HEALED_S, NOTICE_S = 20.0, 30.0, 0.5
 
 
@@ -22,7 +22,7 @@
     def __init__(self, rig: Rig, name: str, zone: str) -> None:
         self.rig, self.name, self.zone = rig, name, zone
         self.clock = Drifting(rig.world, 0.01)
-        self.core: Copies | None = None
+        self.core: Replicator | None = None
         self.starts = self.life = 0
         self.folder: list[Row] = []
         self.drawn: dict[str, float] = {}
@@ -36,7 +36,7 @@
         self.life += 1
         self.wake_at = 0.0
         self.drawn, self.seen = {}, {}
-        self.core = Copies(
+        self.core = Replicator(
             self.name,
             self.starts,
             self.rig.terms,
@@ -45,7 +45,7 @@
             kept,
             self.rig.mistakes,
         )
-        self.core.follow(self.clock.now(), self.rig.members(), self.rig.zones)
+        self.core.set_members(self.clock.now(), self.rig.members(), self.rig.zones)
         self.began_with = self.rig.held_by_most(self)
         if self.core.caught_up:  # by its own word, before it has heard of anybody
             self.rig.told(self, "caught up", {"after_s": 0.0})
@@ -92,7 +92,9 @@
 class Rig(Judge):
     """Nodes in two zones; who is a member is known to all some time after it is so."""
 
-    def __init__(self, seed: int, size: int, terms: Terms, mistakes: Iterable[str] = ()) -> None:
+    def __init__(
+        self, seed: int, size: int, terms: ReplicationSettings, mistakes: Iterable[str] = ()
+    ) -> None:
         super().__init__(seed, mistakes)
         self.terms = terms
         self.nodes = {f"n{at}": Node(self, f"n{at}", f"z{at % 2}") for at in range(size)}
@@ -111,7 +113,7 @@
     def follow(self) -> None:
         for node in self.nodes.values():
             if node.core is not None:
-                node.core.follow(node.clock.now(), self.members(), self.zones)
+                node.core.set_members(node.clock.now(), self.members(), self.zones)
                 node.seen = {
                     one: used for one, used in node.seen.items() if shard_of(USE, one) in node.core.held
                 }
@@ -119,7 +121,7 @@
     def deliver(self, to: str, sender: str, call: str, args: tuple[Any, ...]) -> None:
         node = self.nodes[to]
         if node.core is not None:
-            node.core.hear(node.clock.now(), sender, call, args)
+            node.core.receive(node.clock.now(), sender, call, args)
             self.look(node)
             node.settle()
 
@@ -220,7 +222,7 @@
     random = Random(seed)
     size, budget = random.randint(3, 7), random.choice((600.0, 20000.0))
     forget_s = 4.0 if Random(seed ^ 0xF0).random() < 0.15 else 120.0
-    rig = Rig(seed, size, TERMS._replace(budget=budget, forget_s=forget_s), mistakes)
+    rig = Rig(seed, size, TERMS._replace(bytes_per_s=budget, forget_s=forget_s), mistakes)
     world = rig.world
     world.loss, world.double = random.choice((0, 0, 0.05, 0.2)), random.choice((0, 0.1))
     world.slow = random.choice((0, 0.05))
@@ -234,7 +236,7 @@
 def _run(rig: Rig, random: Random) -> None:
     world, names = rig.world, list(rig.nodes)
     for node in rig.nodes.values():
-        node.core = Copies(node.name, 1, rig.terms, Random(0), 0.0)
+        node.core = Replicator(node.name, 1, rig.terms, Random(0), 0.0)
     for node in rig.nodes.values():
         node.start([])
     world.at(0.1, rig.load)
@@ -289,7 +291,7 @@
         row = Row(USE, random.choice(rig.customers), "n0", 1, 10**6, (float("inf"),))
         if what == "late" and node.folder:  # news of a former time arrives once more
             row = random.choice(node.folder)
-        node.core.hear(node.clock.now(), "n1", "rows", ([row],))
+        node.core.receive(node.clock.now(), "n1", "rows", ([row],))
         node.settle()
 
 
@@ -332,7 +334,7 @@
                 and not rig.harsh
                 and not rig.world.lost
                 and not rig.forgets
-                and rig.terms.budget > 1000
+                and rig.terms.bytes_per_s > 1000
                 and used < least - 1e-6
             ):
                 rig.broken(f"{name} holds that {customer} drew {used:g}, and all together drew {true:g}")
--- a/merlintally/lab/schedules/measure.py
+++ b/merlintally/lab/schedules/measure.py
@@ -16,10 +16,9 @@
 from statistics import mean, median
 from typing import Any
 
-from merlintally.cluster.copies import Copies as CopiesCore
-from merlintally.cluster.copies import Terms as CopyTerms
+from merlintally.cluster.copies import ReplicationSettings, Replicator
 from merlintally.cluster.members import Rhythm
-from merlintally.cluster.work.coordinator import Terms
+from merlintally.cluster.work.coordinator import MaintenanceTiming
 from merlintally.lab.schedules import copies, members
 from merlintally.lab.schedules.work import Node, Rig
 
@@ -45,7 +44,9 @@
     cold. `kill`: whoever leads is killed every 20 s and comes back 5 s later; `goes_on_s` has the times until
     the next machine was out.
     """
-    terms = Terms(lease_s=3.0, renew_s=0.5, drift=0.02, warm_s=1.0 if kill else 15.0, longest_s=0.25)
+    terms = MaintenanceTiming(
+        lease_s=3.0, renew_s=0.5, drift=0.02, warm_s=1.0 if kill else 15.0, longest_s=0.25
+    )
     rig = Rig(seed, size, 3, terms=terms, rhythm=Rhythm(), drift=0.01)
     work_s = 2.0 if kill else WORK_S
     rig.work_s = (work_s, work_s)
@@ -94,16 +95,16 @@
     """`rows` rows of all nodes together; one node is away while a hundredth of them change, and returns with
     the folder that it left or with none. Gives seconds until it has caught up, what came to it in bytes, and
     bytes a second a node at rest."""
-    rig = copies.Rig(1, size, CopyTerms())
+    rig = copies.Rig(1, size, ReplicationSettings())
     rig.customers = [f"c{at}" for at in range(rows)]
     names, world = list(rig.nodes), rig.world
     for node in rig.nodes.values():
-        node.core = CopiesCore(node.name, 1, rig.terms, Random(0), 0.0)
+        node.core = Replicator(node.name, 1, rig.terms, Random(0), 0.0)
     for node in rig.nodes.values():
         node.start([])
     for at, customer in enumerate(rig.customers):
         rig.nodes[names[at % size]].draw(customer, 1.0)
-    world.run(60.0 + rows * 360 / rig.terms.budget / size)
+    world.run(60.0 + rows * 360 / rig.terms.bytes_per_s / size)
     spent = sum(node.bytes for node in rig.nodes.values())
     world.run(world.now + 10.0)
     rest = (sum(node.bytes for node in rig.nodes.values()) - spent) / 10.0 / size
@@ -132,8 +133,8 @@
 def memory_row(customers: int) -> dict[str, float]:
     """One node that draws of so many customers, all within one wake: MB, microseconds a draw, and the longest
     that one call stands still, ms."""
-    core = CopiesCore("n0", 1, CopyTerms(budget=1e5), Random(1), 0.0)
-    core.follow(0.0, [f"n{at}" for at in range(5)], {})
+    core = Replicator("n0", 1, ReplicationSettings(bytes_per_s=1e5), Random(1), 0.0)
+    core.set_members(0.0, [f"n{at}" for at in range(5)], {})
     before, spent = resident(), dict[str, float]()
 
     def timed(what: str, call: Callable[[], None]) -> None:
@@ -149,10 +150,10 @@
     held = resident() - before
     timed("again", lambda: draw(customers // 10))
     timed("wake", lambda: core.wake(1.0))
-    timed("follow", lambda: core.follow(2.0, [f"n{at}" for at in range(6)], {}))
-    now = 2.0 + core.terms.forget_s
-    while core.own:
-        now += core.terms.spread_s
+    timed("follow", lambda: core.set_members(2.0, [f"n{at}" for at in range(6)], {}))
+    now = 2.0 + core.settings.forget_s
+    while core.own_rows:
+        now += core.settings.spread_s
         timed("forget", lambda now=now: core.wake(now))  # type: ignore[misc]
         core.take_results()
     return {
--- a/merlintally/lab/schedules/parts.py
+++ b/merlintally/lab/schedules/parts.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from merlintally.cluster.members import Rhythm
-from merlintally.cluster.work.parts import RECALLED, WHOLE
+from merlintally.cluster.work.parts import RECALLED, WHOLE_CEILING
 from merlintally.cluster.work.state import entry
 from merlintally.lab.schedules.work import TERMS, Node, Rig
 from merlintally.lab.schedules.world import Found, Verdict
@@ -24,7 +24,7 @@
     """`wants` has what each node would draw; it changes now and then."""
 
     def __init__(self, seed: int, size: int, mistakes: Iterable[str]) -> None:
-        terms = TERMS._replace(even=WHOLE // size)
+        terms = TERMS._replace(even_share=WHOLE_CEILING // size)
         super().__init__(seed, size, 3, mistakes, terms=terms, rhythm=RHYTHM)
         self.numbers = 0
 
@@ -45,9 +45,9 @@
                 for name, node in self.nodes.items()
                 if node.running and node.core is not None
             }
-            if sum(shares.values()) > WHOLE:
+            if sum(shares.values()) > WHOLE_CEILING:
                 self.broken(f"{sum(shares.values())} thousandths of {customer} may be drawn: {shares}")
-            if max(shares.values(), default=0) > self.plan.terms.even:
+            if max(shares.values(), default=0) > self.plan.terms.even_share:
                 self.count("looks with a loan")
         self.world.after(0.02, self.load)
 
@@ -58,7 +58,7 @@
         led = [node for node in self.nodes.values() if node.running and node.core and node.core.leads]
         if not led or led[0].core is None:
             return
-        parts, even = led[0].core.work.parts, self.plan.terms.even
+        parts, even = led[0].core.work.parts, self.plan.terms.even_share
         said = [word for word in sorted(self.words) if word.split(":")[0] in ("lent", "ended", "recall")]
         words: list[tuple[Any, ...]] = [(word.split(":")[0], int(word.split(":")[1])) for word in said[-20:]]
         words += [("ended", one.number) for one in parts.loans.values() if one.state != RECALLED]
@@ -123,5 +123,5 @@
     rig.world.run(LENGTH_S + HEALED_S)
     node: Any = rig.nodes[names[0]]
     share = node.core.share("c0", node.clock.now())
-    if share < 1.5 * rig.plan.terms.even and not rig.mistakes:
+    if share < 1.5 * rig.plan.terms.even_share and not rig.mistakes:
         rig.broken(f"{names[0]} needs 900 of c0, the others none, and it may draw {share}")
--- a/merlintally/lab/schedules/work.py
+++ b/merlintally/lab/schedules/work.py
@@ -12,12 +12,12 @@
 from merlintally.cluster.agreement import Kept, Pace
 from merlintally.cluster.core import Cluster, Local, Me, Plan
 from merlintally.cluster.members import Rhythm
-from merlintally.cluster.work.coordinator import Terms
-from merlintally.cluster.work.state import OUT, Machine, entry, most
+from merlintally.cluster.work.coordinator import MaintenanceTiming
+from merlintally.cluster.work.state import OUT, Machine, entry, limit_of
 from merlintally.lab.schedules.agreement import Disk
 from merlintally.lab.schedules.world import Drifting, Found, Judge, Verdict
 
-TERMS = Terms(lease_s=1.5, renew_s=0.3, drift=0.02, warm_s=1.0, longest_s=0.25)
+TERMS = MaintenanceTiming(lease_s=1.5, renew_s=0.3, drift=0.02, warm_s=1.0, longest_s=0.25)
 PACE = Pace(heartbeat_s=0.1, election_s=0.4)
 USUAL = Rhythm()
 LOOK_S, STEP_S = 0.05, 0.2
@@ -144,7 +144,7 @@
         voters: int = 3,
         mistakes: Iterable[str] = (),
         drift: float = 0.01,
-        terms: Terms = TERMS,
+        terms: MaintenanceTiming = TERMS,
         rhythm: Rhythm = USUAL,
         bears: float = 0.0,
     ) -> None:
@@ -282,9 +282,9 @@
                 for value in {getattr(one, kind) for one in rows}
             ),
         ):
-            if out > most(limit, of):
+            if out > limit_of(limit, of):
                 self.broken(
-                    f"{out} machines are out {what}, of at most {most(limit, of)}: {sorted(self.touched)}"
+                    f"{out} machines are out {what}, of at most {limit_of(limit, of)}: {sorted(self.touched)}"
                 )
         if len({one.zone for one in rows}) > 1:
             self.broken(f"machines of two zones are out at once: {sorted(self.touched)}")
--- a/merlintally/subsets/__init__.py
+++ b/merlintally/subsets/__init__.py
@@ -4,12 +4,12 @@
 The design, with the options weighed: docs/subsets.md.
 """
 
-from merlintally.subsets.core import MISTAKES, USUAL, Subset, Terms
+from merlintally.subsets.core import INJECTED_FAULTS, USUAL, Subset, Terms
 from merlintally.subsets.descent import Descent, levels_of, start_level
 from merlintally.subsets.records import Address, Entry, Listing
 
 __all__ = [
-    "MISTAKES",
+    "INJECTED_FAULTS",
     "USUAL",
     "Address",
     "Descent",
--- a/merlintally/subsets/core.py
+++ b/merlintally/subsets/core.py
@@ -13,7 +13,7 @@
 MOST_STEPS = 2  # that a node adds for work that waits
 EASED = 3.0  # by which a moment without work that waits weighs more than one with it
 LOOK_S = 0.5  # seconds between two looks at what waits count for, at the most
-MISTAKES = (  # planted by name, in tests only
+INJECTED_FAULTS = (  # planted by name, in tests only
     "each node has its own hash",
     "shrinks below its least",
     "a drained server is kept",
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -20,7 +20,7 @@
 
 from merlintally.cli.front import front
 from merlintally.cluster.agreement import Kept
-from merlintally.cluster.copies import Terms as CopyTerms
+from merlintally.cluster.copies import ReplicationSettings
 from merlintally.cluster.core import FORMS, Cluster, Me, Plan
 from merlintally.cluster.links import FORM, MOST_HELLO, Bad, Codec, Links, ask, call_of, read_frame
 from merlintally.forms import Faults
@@ -32,7 +32,7 @@
 from merlintally.operators import read_operators
 
 Heard = list[tuple[str, str, tuple[Any, ...]]]
-COPYING = Plan(("n0", "n1"), {"n0": "n0:1", "n1": "n1:1"}, copies=CopyTerms())
+COPYING = Plan(("n0", "n1"), {"n0": "n0:1", "n1": "n1:1"}, copies=ReplicationSettings())
 
 
 # Frames.
@@ -70,14 +70,14 @@
 
 def test_every_call_has_a_form_and_somebody_who_hears_it() -> None:
     from merlintally.cluster.agreement import Raft
-    from merlintally.cluster.copies import Copies
+    from merlintally.cluster.copies import Replicator
     from merlintally.cluster.members import Members
 
     owners: dict[str, tuple[type, str]] = {
         "r": (Raft, "_"),
         "m": (Members, "_"),
         "w": (Cluster, "_on_"),
-        "c": (Copies, "_on_"),
+        "c": (Replicator, "_on_"),
     }
     for call in FORMS:
         owner, prefix = owners[call[0]]
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -13,7 +13,15 @@
 import pytest
 
 from merlintally.cluster.agreement import Kept
-from merlintally.cluster.copies import MISTAKES, Copies, Row, Store, Terms, holders_of, shard_of
+from merlintally.cluster.copies import (
+    INJECTED_FAULTS,
+    ReplicationSettings,
+    Replicator,
+    Row,
+    Store,
+    holders_of,
+    shard_of,
+)
 from merlintally.cluster.copies.store import OUT, SERVER, USE
 from merlintally.cluster.core import Cluster, Me, Plan
 from merlintally.cluster.disk import Disk
@@ -111,8 +119,8 @@
 
 
 def test_the_byte_budget_holds_and_high_priorities_go_first() -> None:
-    core = Copies("a", 1, Terms(budget=400.0, spread_s=0.1), Random(1), 0.0)
-    core.follow(0.0, ["a", "b"], {})
+    core = Replicator("a", 1, ReplicationSettings(bytes_per_s=400.0, spread_s=0.1), Random(1), 0.0)
+    core.set_members(0.0, ["a", "b"], {})
     for at in range(100):
         core.put(0.0, USE, f"c{at}", (1.0,), float(at))
     core.wake(1.0)
@@ -120,15 +128,17 @@
     assert 0 < len(sent) < 10 and sent[0].key == "c99" and len(core.unsent) == 100 - len(sent)
 
 
-def pair(**terms: Any) -> tuple[Copies, Copies]:
+def pair(**terms: Any) -> tuple[Replicator, Replicator]:
     """Two nodes that both hold every shard."""
-    found = tuple(Copies(name, 1, Terms(copies=2, **terms), Random(1), 0.0) for name in "ab")
+    found = tuple(
+        Replicator(name, 1, ReplicationSettings(copies=2, **terms), Random(1), 0.0) for name in "ab"
+    )
     for one in found:
-        one.follow(0.0, ["a", "b"], {})
+        one.set_members(0.0, ["a", "b"], {})
     return found[0], found[1]
 
 
-def exchange(a: Copies, b: Copies, now: float, lost: str = "") -> dict[str, list[tuple[str, float]]]:
+def exchange(a: Replicator, b: Replicator, now: float, lost: str = "") -> dict[str, list[tuple[str, float]]]:
     """Wake both nodes and deliver messages until there are none; return the sums that each node received.
 
     Messages named `lost` are dropped.
@@ -146,7 +156,7 @@
             return received
         for sender, to, call, args in sends:
             if call != lost:
-                by_name[to].hear(now, sender, call, args)
+                by_name[to].receive(now, sender, call, args)
 
 
 def test_each_node_receives_what_others_drew_without_its_own_draws() -> None:
@@ -167,10 +177,10 @@
     b.draw(0.0, "c", 5.0)
     for at in range(1, 4):
         exchange(a, b, at / 4, lost)
-    assert a.unheard(1.0) is (lost == "rows")
+    assert a.lacks_acknowledgements(1.0) is (lost == "rows")
     for at in range(4, 14):
         exchange(a, b, at / 4)
-    assert (a.sums, b.sums) == ({"c": 5.0}, {"c": 3.0}) and not a.unheard(9.0)
+    assert (a.sums, b.sums) == ({"c": 5.0}, {"c": 3.0}) and not a.lacks_acknowledgements(9.0)
 
 
 def test_continuous_draws_do_not_hide_missing_acknowledgements() -> None:
@@ -178,34 +188,34 @@
     for at in range(1, 12):
         a.draw(at / 4, "c", 1.0)
         exchange(a, b, at / 4)
-    assert not a.unheard(11 / 4)
+    assert not a.lacks_acknowledgements(11 / 4)
     for at in range(12, 20):
         a.draw(at / 4, "c", 1.0)
         exchange(a, b, at / 4, "rows")
-    assert a.unheard(19 / 4)
+    assert a.lacks_acknowledgements(19 / 4)
 
 
 def test_an_unchanged_row_is_forgotten_and_does_not_come_back() -> None:
     a, b = pair(forget_s=10.0)
     a.draw(0.0, "c", 3.0)
     exchange(a, b, 0.3)
-    rows = b.store_rows()
+    rows = b.all_rows()
     assert [row.figures for row in rows] == [(3.0,)]
     for at in range(1, 30):
         exchange(a, b, float(at))
-    assert not a.store_rows() and not b.store_rows() and not a.own
-    b.hear(29.5, "a", "rows", (rows,))  # a late message
-    assert not b.store_rows()
+    assert not a.all_rows() and not b.all_rows() and not a.own_rows
+    b.receive(29.5, "a", "rows", (rows,))  # a late message
+    assert not b.all_rows()
     a.draw(30.0, "c", 2.0)  # the owner goes on from the forgotten version and units
     exchange(a, b, 30.3)
-    assert [(row.version, row.figures) for row in b.store_rows()] == [(2, (5.0,))]
+    assert [(row.version, row.figures) for row in b.all_rows()] == [(2, (5.0,))]
 
 
 @pytest.mark.parametrize("invalid", [-1.0, float("nan"), float("inf"), 1e15])
 def test_an_invalid_sum_refuses_the_whole_message(invalid: float) -> None:
     a, _ = pair()
     a.draw(0.0, "c", 3.0)
-    a.hear(0.1, "b", "sums", ([("c", 4.0), ("c", invalid)],))
+    a.receive(0.1, "b", "sums", ([("c", 4.0), ("c", invalid)],))
     assert a.sums == {} and a.store.refused == 1
 
 
@@ -223,7 +233,7 @@
     others: int, dead: int, leased: bool, whole: bool
 ) -> None:
     names = [f"n{at}" for at in range(others)]
-    plan = Plan(("n0",), {name: f"{name}:1" for name in names}, copies=Terms())
+    plan = Plan(("n0",), {name: f"{name}:1" for name in names}, copies=ReplicationSettings())
     core = Cluster(Me("a", "a:1", 1), plan, Kept(), Random(1), 100.0)
     assert core.copies is not None
     core.copies.caught_up = True
@@ -279,4 +289,6 @@
 
 @pytest.mark.parametrize("fault", SHOWN_BY_SEED)
 def test_an_injected_fault_is_found(fault: str) -> None:
-    assert fault in MISTAKES and any(play(seed, (fault,)).broken for seed in range(SHOWN_BY_SEED[fault] + 1))
+    assert fault in INJECTED_FAULTS and any(
+        play(seed, (fault,)).broken for seed in range(SHOWN_BY_SEED[fault] + 1)
+    )
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from merlintally.cluster.members import MISTAKES, Members, Rhythm
+from merlintally.cluster.members import INJECTED_FAULTS, Members, Rhythm
 from merlintally.cluster.members.core import ALIVE, DEAD, LEFT, START, SUSPECT
 from merlintally.lab.schedules.members import measure, play
 
@@ -85,7 +85,7 @@
 
 
 def test_every_mistake_has_a_name_of_its_own() -> None:
-    assert len(set(MISTAKES)) == len(MISTAKES) >= 8
+    assert len(set(INJECTED_FAULTS)) == len(INJECTED_FAULTS) >= 8
 
 
 @pytest.mark.parametrize(
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,14 +7,14 @@
 import pytest
 
 from merlintally.cluster.work.parts import (
-    MISTAKES,
+    INJECTED_FAULTS,
     LoanTable,
     NodeStatus,
     Refused,
+    drawable_share,
     next_loan_entries,
-    share_of,
 )
-from merlintally.cluster.work.state import Work, entry, work_of
+from merlintally.cluster.work.state import Work, decode_work, entry
 from merlintally.lab.schedules.parts import play
 
 EVEN_SHARE = 250
@@ -34,7 +34,7 @@
 
 def shares(table: LoanTable, leased: bool = True) -> tuple[int, int]:
     """What a and b may draw."""
-    a, b = (share_of(table, "c", node, EVEN_SHARE, leased, True) for node in "ab")
+    a, b = (drawable_share(table, "c", node, EVEN_SHARE, leased, True) for node in "ab")
     return a, b
 
 
@@ -49,7 +49,7 @@
 
 def test_the_borrower_loses_a_loan_with_its_lease_and_the_lender_does_not_regain_it() -> None:
     assert shares(loans_after(LEND, ("lent", 1)), leased=False) == (150, 250)
-    assert share_of(loans_after(LEND), "c", "a", EVEN_SHARE, leased=True, caught_up=False) == 0
+    assert drawable_share(loans_after(LEND), "c", "a", EVEN_SHARE, leased=True, caught_up=False) == 0
 
 
 @pytest.mark.parametrize(
@@ -110,9 +110,9 @@
 
 def test_loans_are_part_of_the_state_and_of_its_encoding() -> None:
     work = Work()
-    assert work.take(1, entry("x", *LEND))[1] == "" and work.history == []
-    assert work.take(2, entry("y", "ended", 1))[1] == "loan 1 is asked"
-    assert work_of(work.encode()).parts == work.parts and work.parts.loans[1].lender == "a"
+    assert work.apply(1, entry("x", *LEND))[1] == "" and work.history == []
+    assert work.apply(2, entry("y", "ended", 1))[1] == "loan 1 is asked"
+    assert decode_work(work.encode()).parts == work.parts and work.parts.loans[1].lender == "a"
 
 
 def test_no_schedule_breaks_an_invariant() -> None:
@@ -130,6 +130,6 @@
 }
 
 
-@pytest.mark.parametrize("fault", MISTAKES)
+@pytest.mark.parametrize("fault", INJECTED_FAULTS)
 def test_an_injected_fault_is_found(fault: str) -> None:
     assert play(SHOWN_BY_SEED[fault], (fault,)).broken
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -23,7 +23,7 @@
 from merlintally.net.roster import subset_of
 from merlintally.net.timers import Clock
 from merlintally.operators import read_operators
-from merlintally.subsets import MISTAKES, USUAL, Descent, Entry, Subset, Terms, levels_of, start_level
+from merlintally.subsets import INJECTED_FAULTS, USUAL, Descent, Entry, Subset, Terms, levels_of, start_level
 
 FOUND = {  # planted mistakes, with the seed of the first schedule that shows each
     "each node has its own hash": 0,
@@ -233,7 +233,7 @@
 
 
 def test_every_mistake_has_a_schedule() -> None:
-    assert set(FOUND) == set(MISTAKES) and len(set(MISTAKES)) == len(MISTAKES)
+    assert set(FOUND) == set(INJECTED_FAULTS) and len(set(INJECTED_FAULTS)) == len(INJECTED_FAULTS)
 
 
 @pytest.mark.parametrize("mistake", FOUND)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -10,9 +10,17 @@
 
 from merlintally.cluster.agreement import Config, Kept
 from merlintally.cluster.core import Cluster, Me, Plan
-from merlintally.cluster.work import Coordinator, Machine, Report, Seen, Terms, Work, next_turn
-from merlintally.cluster.work.edge import Edge
-from merlintally.cluster.work.state import entry, work_of
+from merlintally.cluster.work import (
+    Coordinator,
+    FleetView,
+    Machine,
+    MaintenanceTiming,
+    Report,
+    Work,
+    next_turn,
+)
+from merlintally.cluster.work.edge import EdgePermissions
+from merlintally.cluster.work.state import decode_work, entry
 from merlintally.lab.schedules.work import play
 
 BUDGET = ["2", "1", "2"]
@@ -53,14 +61,14 @@
         ("request", "r1", "ann", "kernel", [f"m{at}" for at in range(count)], BUDGET, 0.0),
     ]
     for index, (verb, *args) in enumerate([*first, *commands], 1):
-        assert work.take(index, entry(f"e{index}", verb, *args))[1] == "", (verb, args)
+        assert work.apply(index, entry(f"e{index}", verb, *args))[1] == "", (verb, args)
     return work
 
 
 def void(work: Work, verb: str, *args: Any) -> str:
     """Why an entry is void; it must not have changed machines, turns or their number."""
     before = (work.machines, dict(work.turns), work.number)
-    why = work.take(work.index + 1, entry(f"x{work.index}", verb, *args))[1]
+    why = work.apply(work.index + 1, entry(f"x{work.index}", verb, *args))[1]
     assert why and (work.machines, work.turns, work.number) == before
     return why
 
@@ -68,7 +76,7 @@
 def test_a_repeated_entry_counts_once_and_gives_the_same_result() -> None:
     work = state_after()
     permissions = entry("once", "call", 1, "m0", "r1")
-    assert [work.take(at, permissions)[1] for at in (3, 4, 5)] == ["", "", ""] and work.number == 1
+    assert [work.apply(at, permissions)[1] for at in (3, 4, 5)] == ["", "", ""] and work.number == 1
 
 
 def test_a_late_entry_of_an_earlier_turn_is_void() -> None:
@@ -117,22 +125,22 @@
     work = state_after(("call", 1, "m0", "r1"))
     assert void(work, "call", 2, "m2", "r1") == "m2: in pool p0 1 out of at most 1 (m0)"
     assert void(work, "call", 2, "m1", "r1") == "m1: work is in zone z0, and never in two at once"
-    assert work.take(9, entry("n", "call", 2, "m3", "r1"))[1] == ""  # same zone, other pool
+    assert work.apply(9, entry("n", "call", 2, "m3", "r1"))[1] == ""  # same zone, other pool
 
 
 def test_lost_machines_count_against_the_budget() -> None:
-    choice = next_turn(state_after(), Seen(lost=frozenset({"m4"})))
+    choice = next_turn(state_after(), FleetView(lost=frozenset({"m4"})))
     assert choice.machine == "m4"  # out already: taking it out loses no further capacity
     work = state_after(("call", 1, "m4", "r1"))
-    choice = next_turn(work, Seen(lost=frozenset({"m5"})))
-    assert choice.machine == "" and choice.why["m1"] == "in all 2 out of at most 2 (m4, m5)"
+    choice = next_turn(work, FleetView(lost=frozenset({"m5"})))
+    assert choice.machine == "" and choice.reasons["m1"] == "in all 2 out of at most 2 (m4, m5)"
 
 
 def test_a_majority_of_voters_is_left_and_the_leader_goes_last() -> None:
     voters = frozenset({"n0", "n3", "n5"})
-    assert next_turn(state_after(), Seen(voters=voters, leader="n0")).machine == "m1"
+    assert next_turn(state_after(), FleetView(voters=voters, leader="n0")).machine == "m1"
     work = state_after(("call", 1, "m3", "r1"))
-    assert next_turn(work, Seen(voters=voters)).why["m0"] == "only 1 of 3 voters would be left"
+    assert next_turn(work, FleetView(voters=voters)).reasons["m0"] == "only 1 of 3 voters would be left"
 
 
 def test_voters_are_counted_when_an_entry_is_applied() -> None:
@@ -140,19 +148,19 @@
     work.voters = ("n0", "n3", "n5")
     assert void(work, "call", 2, "m3", "r1") == "m3: only 1 of 3 voters would be left"
     work.voters = ("n3", "n4", "n5")
-    assert work.take(9, entry("n", "call", 2, "m3", "r1"))[1] == ""
+    assert work.apply(9, entry("n", "call", 2, "m3", "r1"))[1] == ""
     work.voters = ("n0", "n3", "n4", "n5")  # with n0 as a voter only one of the two can be out
-    assert work.take(10, entry("g", "grant", 1, "m0"))[1] == ""
+    assert work.apply(10, entry("g", "grant", 1, "m0"))[1] == ""
     assert void(work, "grant", 2, "m3") == "m3: only 2 of 4 voters would be left"
 
 
 def test_a_voter_lost_since_the_call_delays_the_grant() -> None:
     work = state_after(("call", 1, "m0", "r1"))
-    view = Seen(voters=frozenset({"n0", "n3", "n5"}), blank=frozenset({"n3"}))
+    view = FleetView(voters=frozenset({"n0", "n3", "n5"}), without_log=frozenset({"n3"}))
     leader = coordinator_of(work, *ALL)
     assert ("grant", 1, "m0") not in leader.step(101.0, work, view)[0]
     assert leader.waits["m0"] == "only 1 of 3 voters would be left"
-    assert ("grant", 1, "m0") in leader.step(101.0, work, Seen(voters=view.voters))[0]
+    assert ("grant", 1, "m0") in leader.step(101.0, work, FleetView(voters=view.voters))[0]
 
 
 def test_voters_do_not_change_if_too_few_would_be_left_beside_the_machines_that_are_out() -> None:
@@ -170,18 +178,18 @@
 
 def test_a_pool_keeps_the_capacity_that_its_traffic_needs() -> None:
     work = state_after(count=6, bears=10.0)
-    assert next_turn(work, Seen(rates={"p0": 15.0, "p1": 5.0})).machine == "m0"
-    choice = next_turn(work, Seen(rates={"p0": 17.0, "p1": 17.0}))
+    assert next_turn(work, FleetView(rates={"p0": 15.0, "p1": 5.0})).machine == "m0"
+    choice = next_turn(work, FleetView(rates={"p0": 17.0, "p1": 17.0}))
     assert (
         choice.machine == ""
-        and choice.why["m0"] == "pool p0 runs 17 executions/s; machines left can serve 20"
+        and choice.reasons["m0"] == "pool p0 runs 17 executions/s; machines left can serve 20"
     )
 
 
 def test_a_paused_request_keeps_its_machines_out_and_gives_the_reason() -> None:
     work = state_after(("call", 1, "m0", "r1"), ("grant", 1, "m0"), ("out", 1, "m0"), ("pause", "r1", "ann"))
-    assert work.turns["m0"].state == "out" and next_turn(work, Seen()).why["m3"] == "r1 is paused"
-    assert work.take(9, entry("d", "done", "m0", "ann"))[1] == ""
+    assert work.turns["m0"].state == "out" and next_turn(work, FleetView()).reasons["m3"] == "r1 is paused"
+    assert work.apply(9, entry("d", "done", "m0", "ann"))[1] == ""
 
 
 def test_a_request_completed_while_paused_is_finished_on_resume() -> None:
@@ -195,7 +203,7 @@
         count=1,
     )
     assert work.requests["r1"].state == "paused"
-    work.take(9, entry("r", "resume", "r1", "ann"))
+    work.apply(9, entry("r", "resume", "r1", "ann"))
     assert work.requests["r1"].state == "finished"
 
 
@@ -203,7 +211,7 @@
 
 
 def coordinator_of(work: Work, *reporting: str, **reports: Report) -> Coordinator:
-    leader = Coordinator("n5", Terms(3.0, 0.5, 0.02, 10.0, longest_s=1.0), 100.0)
+    leader = Coordinator("n5", MaintenanceTiming(3.0, 0.5, 0.02, 10.0, longest_s=1.0), 100.0)
     for node in reporting:
         leader.renewed(100.0, node, reports.get(node, Report(1, work.index)))
     return leader
@@ -215,12 +223,12 @@
 def test_no_grant_before_every_live_node_has_applied_the_call() -> None:
     work = state_after(("call", 1, "m0", "r1"))
     leader = coordinator_of(work, *ALL[:4], "n5")
-    assert ("grant", 1, "m0") not in leader.step(101.0, work, Seen())[0]
+    assert ("grant", 1, "m0") not in leader.step(101.0, work, FleetView())[0]
     assert leader.waits["m0"] == "n4 has not applied the call"
     # An expired lease alone is not enough.
-    assert ("grant", 1, "m0") not in leader.step(999.0, work, Seen())[0]
-    work.take(9, entry("g", "gone", "n4", 1, "ann", "it burnt"))
-    assert ("grant", 1, "m0") in leader.step(101.0, work, Seen())[0]
+    assert ("grant", 1, "m0") not in leader.step(999.0, work, FleetView())[0]
+    work.apply(9, entry("g", "gone", "n4", 1, "ann", "it burnt"))
+    assert ("grant", 1, "m0") in leader.step(101.0, work, FleetView())[0]
 
 
 def test_out_only_once_the_machine_is_drained_or_all_leases_have_expired() -> None:
@@ -230,7 +238,7 @@
     )
     reasons = []
     for node in ("n0", "n1", "n2"):
-        assert ("out", 1, "m0") not in leader.step(101.0, work, Seen())[0]
+        assert ("out", 1, "m0") not in leader.step(101.0, work, FleetView())[0]
         reasons.append(leader.waits["m0"])
         leader.renewed(101.0, node, Report(1, 4, idle=True))
     assert reasons == [
@@ -238,25 +246,25 @@
         "n1 still waits for answers from the machine",
         "n2 has not applied the grant",
     ]
-    assert ("out", 1, "m0") in leader.step(101.0, work, Seen())[0]
+    assert ("out", 1, "m0") in leader.step(101.0, work, FleetView())[0]
     silent = coordinator_of(work, "n0", n0=Report(1, 4, idle=True))  # a new leader without other reports
-    assert ("out", 1, "m0") not in silent.step(104.1, work, Seen())[0]
-    assert ("out", 1, "m0") in silent.step(104.2, work, Seen())[0]
+    assert ("out", 1, "m0") not in silent.step(104.1, work, FleetView())[0]
+    assert ("out", 1, "m0") in silent.step(104.2, work, FleetView())[0]
 
 
 def test_a_node_whose_own_machine_is_out_delays_no_other_turn() -> None:
     """Otherwise other turns would wait until the machine is switched on again."""
     work = state_after(("call", 1, "m0", "r1"), ("grant", 1, "m0"), ("out", 1, "m0"), ("call", 2, "m3", "r1"))
     leader = coordinator_of(work, *ALL[1:])
-    assert ("grant", 2, "m3") in leader.step(101.0, work, Seen())[0]
-    work.take(9, entry("d", "done", "m0", "ann"))
-    assert ("grant", 2, "m3") not in leader.step(101.0, work, Seen())[0]
+    assert ("grant", 2, "m3") in leader.step(101.0, work, FleetView())[0]
+    work.apply(9, entry("d", "done", "m0", "ann"))
+    assert ("grant", 2, "m3") not in leader.step(101.0, work, FleetView())[0]
     assert leader.waits["m3"] == "n0 has not applied the call"
 
 
 def test_leadership_is_transferred_before_the_turn_of_the_leader() -> None:
     work = state_after(("call", 1, "m5", "r1"))
-    entries, transfer = coordinator_of(work, *ALL).step(101.0, work, Seen())
+    entries, transfer = coordinator_of(work, *ALL).step(101.0, work, FleetView())
     assert transfer and ("grant", 1, "m5") not in entries
 
 
@@ -267,17 +275,17 @@
     )
     reasons = []
     for report in (Report(2, 6), Report(2, 6)):
-        leader.step(100.5, work, Seen())
+        leader.step(100.5, work, FleetView())
         reasons.append(leader.waits["m0"])
         leader.renewed(100.5, "n0", report)
     for name in ALL:
         leader.renewed(101.0, name, Report(2, 6))
-    leader.step(101.0, work, Seen())
+    leader.step(101.0, work, FleetView())
     reasons.append(leader.waits["m0"])
     assert reasons == ["n0 has not caught up", "s0 is not listed by a majority", "warm in 10 s"]
     for name in ALL:
         leader.renewed(111.0, name, Report(2, 6))
-    assert ("back", 1, "m0") in leader.step(111.1, work, Seen())[0]
+    assert ("back", 1, "m0") in leader.step(111.1, work, FleetView())[0]
 
 
 @pytest.mark.parametrize(("late_s", "taken"), [(2.9, True), (3.1, False)])
@@ -311,10 +319,10 @@
         return frozenset({name} if injected else ())
 
     work = state_after(("call", 1, "m0", "r1"), ("pause", "r1", "ann"), ("resume", "r1", "ann"))
-    work.take(6, entry("again", "call", 2, "m0", "r1"))
-    old = work.take(7, entry("late", "grant", 1, "m0"), faults("old grant accepted"))[1]
+    work.apply(6, entry("again", "call", 2, "m0", "r1"))
+    old = work.apply(7, entry("late", "grant", 1, "m0"), faults("old grant accepted"))[1]
     assert (old == "") is injected
-    permissions = Edge(
+    permissions = EdgePermissions(
         "n1", 1, state_after(("call", 1, "m0", "r1")), faults("the lease is counted from its receipt")
     )
     permissions.renewed(100.0, permissions.work.index, 105.0)
@@ -343,8 +351,8 @@
 # Permissions of a node.
 
 
-def edge(work: Work, name: str = "n1", at: float = 100.0) -> Edge:
-    found = Edge(name, 1, work)
+def edge(work: Work, name: str = "n1", at: float = 100.0) -> EdgePermissions:
+    found = EdgePermissions(name, 1, work)
     found.renewed(at, work.index, at)
     return found
 
@@ -359,7 +367,7 @@
 def test_a_lease_counts_from_when_the_renewal_was_sent_and_never_shrinks() -> None:
     permissions = edge(state_after(("call", 1, "m0", "r1")))
     permissions.renewed(90.0, 3, 110.0)  # a delayed answer
-    assert permissions.until == 100.0
+    assert permissions.leased_from == 100.0
 
 
 def test_during_a_turn_the_node_accepts_nothing_and_others_do_not_send_to_the_machine() -> None:
@@ -369,7 +377,7 @@
 
 
 def test_a_restarted_node_accepts_nothing_until_it_has_caught_up() -> None:
-    permissions = Edge("n1", 2, Work())
+    permissions = EdgePermissions("n1", 2, Work())
     assert not permissions.may_take(100.0) and not permissions.may_send("s0", 100.0, 3.0)
     permissions.renewed(100.0, 7, 100.0)
     assert not permissions.may_take(100.0)  # not all entries are applied
@@ -380,7 +388,7 @@
 def test_a_node_without_a_lease_sends_to_the_refuge_only() -> None:
     work = Work()
     rows = [row | {"refuge": row["name"] == "m0"} for row in machines(3)]
-    assert work.take(1, entry("a", "machines", "ann", rows))[1] == ""
+    assert work.apply(1, entry("a", "machines", "ann", rows))[1] == ""
     permissions = edge(work)
     assert permissions.may_send("s2", 102.0, 3.0)
     assert permissions.may_send("s0", 104.0, 3.0) and not permissions.may_send("s2", 104.0, 3.0)
@@ -388,5 +396,5 @@
 
 def test_the_state_survives_encoding_and_decoding() -> None:
     work = state_after(("call", 1, "m0", "r1"), ("grant", 1, "m0"))
-    assert work_of(work.encode()) == work
+    assert decode_work(work.encode()) == work
     assert Machine("m", "p", "z").bears == 0.0
