--- a/merlintally/cluster/core.py
+++ b/merlintally/cluster/core.py
@@ -18,19 +18,19 @@
 from merlintally.cluster import MAX_UNHEALTHY_SHARE, agreement, copies, members
 from merlintally.cluster.agreement import Config, Entry, PersistentState, Raft, RaftSettings
 from merlintally.cluster.agreement.log import CONFIG, DATA, decode_config
-from merlintally.cluster.copies import Copies, Row
+from merlintally.cluster.copies import Replicator, Row
 from merlintally.cluster.members import Members, SwimSettings
 from merlintally.cluster.members.core import DEAD, INCARNATIONS_PER_START, LEFT, STATES, SUSPECT
-from merlintally.cluster.work.coordinator import Coordinator, Report, Terms, lost
-from merlintally.cluster.work.edge import Edge
-from merlintally.cluster.work.order import Seen
-from merlintally.cluster.work.parts import share_of
-from merlintally.cluster.work.state import entry, work_of
+from merlintally.cluster.work.coordinator import Coordinator, MaintenanceTiming, Report, lost_machines
+from merlintally.cluster.work.edge import EdgePermissions
+from merlintally.cluster.work.order import FleetView
+from merlintally.cluster.work.parts import drawable_share
+from merlintally.cluster.work.state import decode_work, entry
 
 MESSAGE_TYPES: dict[str, Any] = {  # message name -> types of its arguments
     **{f"r.{message}": types for message, types in agreement.MESSAGE_TYPES.items()},
     **{f"m.{message}": types for message, types in members.MESSAGE_TYPES.items()},
-    **{f"c.{message}": types for message, types in copies.FORMS.items()},
+    **{f"c.{message}": types for message, types in copies.MESSAGE_TYPES.items()},
     "w.renew": tuple[float, Report, bool],  # sent at, report, whether the node has lost its persistent state
     "w.right": tuple[
         float, int, bytes, list[tuple[int, Entry]]
@@ -67,8 +67,8 @@
     seeds: dict[str, str]
     raft_settings: RaftSettings = RaftSettings()
     swim_settings: SwimSettings = SwimSettings()
-    terms: Terms = Terms()
-    copies: copies.Terms | None = None  # None: state is not copied
+    terms: MaintenanceTiming = MaintenanceTiming()
+    copies: copies.ReplicationSettings | None = None  # None: state is not copied
 
 
 @dataclass(slots=True)
@@ -141,14 +141,14 @@
             now,
             injected_faults,
         )
-        self.work = work_of(stored.snapshot.data)
+        self.work = decode_work(stored.snapshot.data)
         self.work.index = max(self.work.index, stored.snapshot.included_index)
         self.work.voters = self.work.voters or settings.voters
-        self.edge = Edge(identity.name, identity.start, self.work, injected_faults)
-        self.copies: Copies | None = None
+        self.edge = EdgePermissions(identity.name, identity.start, self.work, injected_faults)
+        self.copies: Replicator | None = None
         if settings.copies is not None:
             copies_random = Random(random.random())
-            self.copies = Copies(
+            self.copies = Replicator(
                 identity.name, identity.start, settings.copies, copies_random, now, rows, injected_faults
             )
             self._update_copies()
@@ -181,13 +181,13 @@
     def share(self, customer: str, now: float) -> int:
         """This node's current share of a customer's ceiling, in thousandths."""
         edge, terms = self.edge, self.settings.terms
-        leased = now < edge.until + terms.lease_s
-        known_share = edge.caught_up and not edge.said_gone
-        return share_of(
+        leased = now < edge.leased_from + terms.lease_s
+        known_share = edge.caught_up and not edge.declared_gone
+        return drawable_share(
             self.work.parts,
             customer,
             self.identity.name,
-            terms.even,
+            terms.even_share,
             leased,
             known_share,
             self.injected_faults,
@@ -268,7 +268,7 @@
             "leads": self.leads,
             "blank": self.raft.lost_state,
             "caught_up": self.edge.caught_up,
-            "lease_left_s": round(self.edge.until + self.settings.terms.lease_s - now, 3),
+            "lease_left_s": round(self.edge.leased_from + self.settings.terms.lease_s - now, 3),
             "voters": list(self.raft.config.voters),
             "learners": list(self.raft.config.learners),
             "members": {name: STATES[member.state] for name, member in sorted(self.members.known.items())},
@@ -283,7 +283,7 @@
                 for turn in work.turns.values()
             ],
             "next": active_coordinator.choice.machine if active_coordinator is not None else "",
-            "why_not": dict(active_coordinator.choice.why) if active_coordinator else {},
+            "why_not": dict(active_coordinator.choice.reasons) if active_coordinator else {},
             "overdue": active_coordinator.overdue(now, work) if active_coordinator is not None else [],
             "requests": [
                 {
@@ -323,7 +323,7 @@
                 "rows": len(local_copies.store),
                 "shards": len(local_copies.held),
                 "unsent": len(local_copies.unsent),
-                "unanswered": len(local_copies.sent),
+                "unanswered": len(local_copies.unacknowledged),
                 "leaving": len(local_copies.leaving),
                 "quarantined": len(local_copies.store.quarantine),
                 "refused": local_copies.store.refused,
@@ -341,15 +341,15 @@
         """
         local_copies, known = self.copies, self.members.known.values()
         unhealthy = sum(member.state in (SUSPECT, DEAD) for member in known)
-        leased = now < self.edge.until + self.settings.terms.lease_s
+        leased = now < self.edge.leased_from + self.settings.terms.lease_s
         if local_copies is None or not leased or unhealthy > MAX_UNHEALTHY_SHARE * len(known):
             return False
-        return local_copies.caught_up and not local_copies.unheard(now)
+        return local_copies.caught_up and not local_copies.lacks_acknowledgements(now)
 
     def _update_copies(self) -> None:
         assert self.copies is not None
         zones = {edge: row.zone for row in self.work.machines.values() for edge in row.edges}
-        self.copies.follow(self.now, self.members.alive(), zones)
+        self.copies.set_members(self.now, self.members.alive(), zones)
 
     def take_results(self) -> Results:
         output = self.results
@@ -421,7 +421,7 @@
             self.members.receive(now, sender, name, args)
         elif part == "c":
             if self.copies is not None:
-                self.copies.hear(now, sender, name, args)
+                self.copies.receive(now, sender, name, args)
         else:
             getattr(self, f"_on_{name}")(sender, *args)
 
@@ -521,7 +521,9 @@
         for node, sent_at, report, lost_state in self.renewal_rounds.pop(token, []):
             if self.coordinator is not None:
                 self.coordinator.renewed(self.now, node, report)
-                (self.coordinator.blank.add if lost_state else self.coordinator.blank.discard)(node)
+                (self.coordinator.without_log.add if lost_state else self.coordinator.without_log.discard)(
+                    node
+                )
             state, entries = b"", list[tuple[int, Entry]]()
             if report.acts_on < self.raft.log.snapshot.included_index:
                 state = self.work.encode()
@@ -574,7 +576,7 @@
                 "number": turn.number if turn else 0,
                 "state": turn.state if turn else "",
                 "waits": active_coordinator.waits.get(machine, "") if active_coordinator else "",
-                "why_not": active_coordinator.choice.why.get(machine, "") if active_coordinator else "",
+                "why_not": active_coordinator.choice.reasons.get(machine, "") if active_coordinator else "",
                 "asked_for": any(
                     machine in request.machines
                     and machine not in request.done
@@ -607,15 +609,15 @@
         if index != self.work.index + 1:
             return
         if log_entry.kind == DATA:
-            request_id, why = self.work.take(index, log_entry.data, self.injected_faults)
+            request_id, why = self.work.apply(index, log_entry.data, self.injected_faults)
             if (asked := self.pending_requests.get(request_id)) is not None:
                 del self.pending_requests[request_id]
                 self._answer(request_id, asked[0], not why, why)
             self.events.append(("committed", {"index": index, "void": why, "what": request_id}))
-            self.edge.follow(self.work)
+            self.edge.set_work(self.work)
             self.work_changed = True
             if self.coordinator is not None and self.leads:
-                for node in self.coordinator.heard:
+                for node in self.coordinator.reports:
                     if node != self.identity.name:
                         self.results.sends.append((node, "w.news", (index,)))
         elif log_entry.kind == CONFIG:
@@ -623,12 +625,12 @@
         self.work.index = index
 
     def _restore_work(self, data: bytes, min_index: int) -> None:
-        restored = work_of(data)
+        restored = decode_work(data)
         restored.index = max(restored.index, min_index)
         restored.voters = restored.voters or self.settings.voters
         if restored.index > self.work.index:
             self.work = restored
-            self.edge.follow(restored)
+            self.edge.set_work(restored)
             self.work_changed = True
             self.events.append(("committed", {"index": restored.index, "void": "", "what": "snapshot"}))
 
@@ -671,12 +673,12 @@
                 if index:
                     self.proposed[key] = index
 
-    def _observe_fleet(self) -> Seen:
+    def _observe_fleet(self) -> FleetView:
         assert self.coordinator is not None
         recent = [
             received.report
-            for received in self.coordinator.heard.values()
-            if self.now - received.at < 3 * self.settings.terms.renew_s
+            for received in self.coordinator.reports.values()
+            if self.now - received.received_at < 3 * self.settings.terms.renew_s
         ]
         dead = [
             name
@@ -690,8 +692,12 @@
             for pool, rate in report.rates.items():
                 rates[pool] = rates.get(pool, 0.0) + rate
         voters = frozenset(self.raft.config.voters)
-        return Seen(
-            lost(self.work, dead, recent), rates, voters, self.identity.name, voters & self.coordinator.blank
+        return FleetView(
+            lost_machines(self.work, dead, recent),
+            rates,
+            voters,
+            self.identity.name,
+            voters & self.coordinator.without_log,
         )
 
     def _transfer_leadership(self) -> None:
@@ -746,7 +752,7 @@
         return raft.change_config(self.now, new_config)
 
     def _loses_majority(self, new_config: Config) -> bool:
-        out = self.work.beyond_call()
+        out = self.work.granted_machines()
         return bool(
             set(new_config.voters) & self._nodes_in_turn()
             and self.work.too_few_voters(out, new_config.voters)
--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -21,7 +21,7 @@
 
 from merlintally.cluster import ALL_PEERS
 from merlintally.cluster.agreement import RaftSettings
-from merlintally.cluster.copies import Terms as CopyTerms
+from merlintally.cluster.copies import ReplicationSettings
 from merlintally.cluster.core import (
     STREAMED_PREFIXES,
     Cluster,
@@ -33,8 +33,8 @@
 from merlintally.cluster.links import Links
 from merlintally.cluster.members import SwimSettings
 from merlintally.cluster.record import Record
-from merlintally.cluster.work.coordinator import Terms
-from merlintally.cluster.work.state import GRANTED, OUT, RETURNING, most
+from merlintally.cluster.work.coordinator import MaintenanceTiming
+from merlintally.cluster.work.state import GRANTED, OUT, RETURNING, limit_of
 from merlintally.net.configuration import Address, parse_address
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
@@ -65,8 +65,10 @@
         dict(part.seeds),
         RaftSettings(heartbeat_s=part.heartbeat_s, election_s=part.election_s),
         SwimSettings(period_s=part.period_s, probe_timeout_s=0.3 * part.period_s),
-        Terms(part.lease_s, part.renew_s, part.drift_share, part.warm_s, part.longest_s),
-        CopyTerms(part.copies, part.copy_bytes_s, cold_after_s=part.copy_cold_s, forget_s=part.copy_forget_s)
+        MaintenanceTiming(part.lease_s, part.renew_s, part.drift_share, part.warm_s, part.longest_s),
+        ReplicationSettings(
+            part.copies, part.copy_bytes_s, cold_after_s=part.copy_cold_s, forget_s=part.copy_forget_s
+        )
         if part.copies
         else None,
     )
@@ -231,7 +233,7 @@
         self._collect_draws(now)
         self.core.local = LocalObservations(busy, not self.dispatcher.open_requests, unlisted, self.rates)
         self.core.wake(now)
-        restricted = now >= self.core.edge.until + self.part.lease_s
+        restricted = now >= self.core.edge.leased_from + self.part.lease_s
         if restricted != self.restricted:
             self.restricted = restricted
             self._publish_event("careful", {"thing": "work"}) if restricted else self._record_applied_work()
@@ -295,7 +297,7 @@
             copies = self.core.copies
             if copies is not None and self.disk_writable:
                 with suppress(OSError):
-                    await anyio.to_thread.run_sync(self.disk.store_copies, copies.store_rows())
+                    await anyio.to_thread.run_sync(self.disk.store_copies, copies.all_rows())
 
     async def _write_rows(self) -> None:
         """Write rows in batches in a thread; messages that depend on them wait until they are synced."""
@@ -403,9 +405,9 @@
                         "most": {}
                         if limits is None
                         else {
-                            "total": most(limits.total, len(work.machines)),
-                            "pool": most(limits.pool, sum(other.pool == machine.pool for other in rows)),
-                            "zone": most(limits.zone, sum(other.zone == machine.zone for other in rows)),
+                            "total": limit_of(limits.total, len(work.machines)),
+                            "pool": limit_of(limits.pool, sum(other.pool == machine.pool for other in rows)),
+                            "zone": limit_of(limits.zone, sum(other.zone == machine.zone for other in rows)),
                         },
                     },
                 )
--- a/merlintally/cluster/work/__init__.py
+++ b/merlintally/cluster/work/__init__.py
@@ -1,8 +1,19 @@
-"""The order of work: which machine is taken out next, without input or output: see docs/work-order.md."""
+"""Order of machine maintenance: which machine is taken out next, without input or output.
 
-from merlintally.cluster.work.coordinator import Coordinator, Report, Terms
-from merlintally.cluster.work.order import Choice, Seen, next_turn
-from merlintally.cluster.work.state import INJECTED_FAULTS, Budget, Machine, Request, Turn, Work, machines_of
+See docs/work-order.md.
+"""
+
+from merlintally.cluster.work.coordinator import Coordinator, MaintenanceTiming, Report
+from merlintally.cluster.work.order import Choice, FleetView, next_turn
+from merlintally.cluster.work.state import (
+    INJECTED_FAULTS,
+    Budget,
+    Machine,
+    Request,
+    Turn,
+    Work,
+    machines_by_name,
+)
 
 __all__ = [
     "INJECTED_FAULTS",
@@ -12,10 +23,10 @@
     "Machine",
     "Report",
     "Request",
-    "Seen",
-    "Terms",
+    "FleetView",
+    "MaintenanceTiming",
     "Turn",
     "Work",
-    "machines_of",
+    "machines_by_name",
     "next_turn",
 ]
--- a/merlintally/lab/scale/control_schedule.py
+++ b/merlintally/lab/scale/control_schedule.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from merlintally.cluster.copies import Terms as CopyTerms
+from merlintally.cluster.copies import ReplicationSettings
 from merlintally.cluster.core import STREAMED_PREFIXES, ClusterSettings
 from merlintally.cluster.links import DECODERS, FORMAT_VERSION, Codec, decode_message
 from merlintally.cluster.members.core import DEAD, INCARNATIONS_PER_START, Member
@@ -122,7 +122,7 @@
             base.raft_settings,
             base.swim_settings,
             base.terms,
-            CopyTerms(copies) if copies else None,
+            ReplicationSettings(copies) if copies else None,
         )
         self.machines = {}
         self.metered = {name: MeteredNode(self, name, at) for at, name in enumerate(names)}
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -20,7 +20,7 @@
 
 from merlintally.cli.front import front
 from merlintally.cluster.agreement import PersistentState
-from merlintally.cluster.copies import Terms as CopyTerms
+from merlintally.cluster.copies import ReplicationSettings
 from merlintally.cluster.core import MESSAGE_TYPES, Cluster, ClusterSettings, NodeIdentity
 from merlintally.cluster.links import (
     FORMAT_VERSION,
@@ -41,7 +41,7 @@
 from merlintally.operators import read_operators
 
 Messages = list[tuple[str, str, tuple[Any, ...]]]  # sender, message, arguments
-COPYING = ClusterSettings(("n0", "n1"), {"n0": "n0:1", "n1": "n1:1"}, copies=CopyTerms())
+COPYING = ClusterSettings(("n0", "n1"), {"n0": "n0:1", "n1": "n1:1"}, copies=ReplicationSettings())
 
 
 # Frames.
@@ -79,14 +79,14 @@
 
 def test_every_message_type_has_a_handler() -> None:
     from merlintally.cluster.agreement import Raft
-    from merlintally.cluster.copies import Copies
+    from merlintally.cluster.copies import Replicator
     from merlintally.cluster.members import Members
 
     owners: dict[str, tuple[type, str]] = {
         "r": (Raft, "_"),
         "m": (Members, "_"),
         "w": (Cluster, "_on_"),
-        "c": (Copies, "_on_"),
+        "c": (Replicator, "_on_"),
     }
     for call in MESSAGE_TYPES:
         owner, prefix = owners[call[0]]
