--- a/merlintally/net/clients.py
+++ b/merlintally/net/clients.py
@@ -27,7 +27,8 @@
 from merlintally.net.sockets import RETRY_S, Allowance, Buffer, prepared
 from merlintally.net.timers import Clock
 
-AT_ONCE, LINGERING = 16, 8  # connections accepted, and reads of one that is to be closed, in a row
+AT_ONCE = 16  # connections accepted in a row
+LINGERING = 8  # reads in a row of a connection that is to be closed
 MADE_ROOM = 2 * AT_ONCE  # connections closed at once where descriptors run short
 BUSY = b"-BUSY\r\n"
 ASIDE = (b"PING", b"CLIENT", b"SELECT", b"QUIT")
--- a/merlintally/net/dispatcher.py
+++ b/merlintally/net/dispatcher.py
@@ -27,8 +27,10 @@
 GIVEN_UP: list[Buffer] = [b"-ERR given up\r\n"]
 BUSY: list[Buffer] = [b"-BUSY\r\n"]
 SERVED = "an app server's answer"  # reasons of answers that no app server gave, beside the decisions' own
-TAKES_NOTHING, OPEN_MOST = "the node takes nothing new", "as many requests are open as may be"
-ID_IS_OPEN, OVERDUE = "a request with this id is open", "its deadline has passed"
+TAKES_NOTHING = "the node takes nothing new"
+OPEN_MOST = "as many requests are open as may be"
+ID_IS_OPEN = "a request with this id is open"
+OVERDUE = "its deadline has passed"
 DECISIONS_FAILED = "a fault in the decisions"
 OVERDUE_S = 0.1  # past its deadline, from which a request counts as forgotten by the decisions
 SAME_ID: list[Buffer] = [b"-ERR the id is that of an open submission\r\n"]
--- a/merlintally/net/resp.py
+++ b/merlintally/net/resp.py
@@ -5,7 +5,8 @@
 from merlintally.fields import Malformed
 
 MOST_VALUE = 64 << 10  # bytes of one value, by the protocol
-MOST_WORDS, MOST_LINE = 64, 512
+MOST_WORDS = 64
+MOST_LINE = 512
 Span = tuple[int, int]
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -24,7 +24,9 @@
 
 LIMIT_S = 1.0  # how long the clients of these tests wait
 TERMS = b"c=look,t=plan,d=1000,units=1,spread=1,first=0"
-SERVED, REJECTED, CLOSED = "served", "rejected", "closed"
+SERVED = "served"
+REJECTED = "rejected"
+CLOSED = "closed"
 
 
 @dataclass(frozen=True)
