--- a/merlintally/net/clients.py
+++ b/merlintally/net/clients.py
@@ -104,7 +104,7 @@
             self.end(CloseReason.CLIENT)
         return self.ended
 
-    def is_unseen(self) -> bool:
+    def end_may_be_unread(self) -> bool:
         """Whether its client's end could stand behind bytes that there is no room to read."""
         stream = self.stream
         return stream.overfull or (stream.end == len(stream.buffer) and self.clients.held.full)
@@ -156,7 +156,7 @@
     def close_after_answers(self, reason: CloseReason) -> None:
         """The same, and where nothing is owed end at once."""
         self._close_for(reason)
-        self.pass_on()
+        self.write_answers()
 
     async def _read_commands(self) -> None:
         """Take all commands that have come whole; more than may be open wait unread, as do unread answers."""
@@ -198,7 +198,7 @@
                 request = self._request_of(raw, words, came_at)
             except Malformed as wrong:
                 self.pending.append(PendingAnswer([b"-ERR %b\r\n" % plain(wrong)]))
-                self.pass_on()
+                self.write_answers()
                 await self._fault()
             else:
                 self.known, self.faults = True, 0
@@ -206,14 +206,14 @@
                     self._retire_for(CloseReason.FEW_DESCRIPTORS)
                 if self.admission is Admission.REJECTED and not clients.give_way(urgent=True):
                     self.pending.append(PendingAnswer([BUSY]))
-                    self.pass_on()
+                    self.write_answers()
                     return
                 self.pending.append(request)
-                clients.held.take(request.size)
+                clients.held.take(request.held_bytes)
                 await clients.dispatcher.post(clients.dispatcher.take, request)
             return
         self.pending.append(PendingAnswer([self._aside(name)]))
-        self.pass_on()
+        self.write_answers()
         if name in ASIDE:
             await anyio.sleep(0)  # guards against hundreds at once, while all others wait
         else:
@@ -285,14 +285,14 @@
             self._close_for(CloseReason.ASKED)
         return b"+OK\r\n" if name in ASIDE else b"-ERR unknown command\r\n"
 
-    def pass_on(self) -> None:
+    def write_answers(self) -> None:
         """Write the answers whose turn has come."""
         ready: list[Buffer] = []
         while self.pending and self.pending[0].answer is not None:
             pending = self.pending.popleft()
             ready.extend(pending.answer or ())
             if isinstance(pending, Request):
-                self.clients.held.give(pending.size)
+                self.clients.held.give(pending.held_bytes)
         if self.closing and not self.pending:
             ready.extend(self._refusals())
         if ready and not self.ended:
@@ -341,7 +341,7 @@
             self.end(CloseReason.BROKEN)
         self._hold_unread()
         self.moved_at = self.clients.clock.now()
-        self.pass_on()
+        self.write_answers()
 
     def end(self, reason: CloseReason) -> None:
         """End it at once, whatever it is owed."""
@@ -353,7 +353,7 @@
     def retire(self, reason: CloseReason) -> None:
         """Close it once it rests: at once, or when the last of what has come is answered."""
         self._retire_for(reason)
-        self.pass_on()
+        self.write_answers()
 
     def _retire_for(self, reason: CloseReason) -> None:
         self.retiring = True
@@ -374,7 +374,7 @@
         for request in owed:
             request.gone = True  # guards against sends for it while the word of it waits in a long queue
             request.gone_at = clients.clock.now()
-            clients.held.give(request.size)
+            clients.held.give(request.held_bytes)
         for request in owed:
             if request.answer is None:
                 await clients.dispatcher.post(clients.dispatcher.left, request)
--- a/merlintally/net/invariants.py
+++ b/merlintally/net/invariants.py
@@ -1,7 +1,7 @@
-"""What must hold whatever happens, looked at while the node runs: each breach is counted and told of.
+"""Invariants that are checked while the node runs; violations are counted and logged.
 
-The checks lie behind the act (an attempt written, an answer passed on, a connection closed), apart from the
-guards before it, so that a path which goes round a guard is found here.
+The checks run after the act (an attempt written, an answer delivered, a connection closed) and independently
+of the guards before it, so that a code path that bypasses a guard is detected.
 """
 
 from __future__ import annotations
@@ -11,42 +11,42 @@
 
 from merlintally.net.log import Log
 
-HELD_UP_S = 0.15  # for which a process may stand between reading its clock and writing
-GONE_S = 0.1  # from a client's end on, after which nothing begins for it
-LATE_S = 0.5  # past a request's deadline, until which an answer is only late
-WAIT_SLACK_S = 0.15  # by which the time told to an app server may pass what the client has left
+HELD_UP_S = 0.15  # a process may be suspended between reading its clock and writing
+GONE_S = 0.1  # after the end of a client, until which attempts for it may still begin
+LATE_S = 0.5  # after its deadline, until which a late answer is tolerated
+WAIT_SLACK_S = 0.15  # by which the time stated to an app server may exceed the remaining time
 
 
 class Invariant(StrEnum):
-    """One thing that must hold."""
+    """The invariants; the member names are values of the log field `invariant`."""
 
     ANSWERED_IN_TIME = "every request is answered by its deadline"
-    NO_ANSWER_OWED = "no connection is closed by the node while a request on it waits for its answer"
-    CLIENT_THERE = "no attempt begins for a client that has left"
-    NOT_ANSWERED = "no attempt begins for a request that is answered"
-    NOT_TOO_LATE = "no attempt begins past its deadline, or as a repeat that is no longer remembered"
-    ONE_COPY = "no request that may not be repeated has two attempts out"
-    SERVER_STAYS = "no attempt begins at a server that drains or is gone, past the grace"
-    WAIT_TOLD = "no app server is told of more time than the client has left"
+    NO_ANSWER_OWED = "the node closes no connection while a request on it is unanswered"
+    CLIENT_THERE = "no attempt begins for a client that has disconnected"
+    NOT_ANSWERED = "no attempt begins for a request that has an answer"
+    NOT_TOO_LATE = "no attempt begins after its deadline or the deduplication window of a retry"
+    ONE_COPY = "no one-shot request has two attempts in flight"
+    SERVER_STAYS = "no attempt begins at a draining or removed server after the grace period"
+    WAIT_TOLD = "no attempt states more time to answer in than its client has left"
 
 
 class Invariants:
-    """Counts breaches. A healthy node has none."""
+    """Counts and logs violations. A healthy node has none."""
 
     def __init__(self, log: Log) -> None:
         self._log = log
         self.broken: Counter[Invariant] = Counter()
 
     def check(self, holds: bool, invariant: Invariant, request: bytes = b"", **fields: object) -> None:
-        """Note that an invariant `holds`, or tell of the breach; `request` is the id concerned, if any."""
+        """Count and log a violation unless the invariant `holds`; `request` is the id concerned, if any."""
         if holds:
             return
         self.broken[invariant] += 1
-        told = request.decode("ascii", "replace")
+        request_id = request.decode("ascii", "replace")
         self._log.say(
-            f"invariant broken: {invariant} (request {told}, {fields})",
+            f"invariant broken: {invariant} (request {request_id}, {fields})",
             "invariant.broken",
             invariant=invariant.name,
-            submission=told,
+            submission=request_id,
             **fields,
         )
--- a/merlintally/net/post.py
+++ b/merlintally/net/post.py
@@ -1,7 +1,7 @@
-"""The queue of a task that owns something, and what its neighbours may say to the owner of the decisions.
+"""A queue of calls to a task that owns some state, and the interfaces around the owner of the decisions.
 
-It lies below both: neighbours know an `Owner` and its queue, never the dispatcher itself, and a further owner
-gets a `Post` of its own with no change to them.
+Neighbouring modules depend on the protocols here and not on the dispatcher itself. Another task that owns
+state gets a `Post` of its own.
 """
 
 from __future__ import annotations
@@ -15,40 +15,43 @@
 from merlintally.net.configuration import Listed
 from merlintally.net.requests import Answer, Attempt, Request
 
-Do = Callable[[Callable[..., None], tuple[Any, ...]], None]
+MakeCall = Callable[[Callable[..., None], tuple[Any, ...]], None]
 
 
 class Post:
-    """A bounded queue of calls that one task makes, one after another."""
+    """A bounded queue of calls that one task makes in order."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_calls: int) -> None:
         self._send, self._calls = anyio.create_memory_object_stream[
             tuple[Callable[..., None], tuple[Any, ...]]
-        ](most)
+        ](max_calls)
 
     async def post(self, call: Callable[..., None], *args: Any) -> None:
-        """Put a call in the queue; while it is full the caller waits, and reads no more."""
+        """Append a call; waits while the queue is full, which applies backpressure to the caller."""
         try:
             self._send.send_nowait((call, args))
         except anyio.WouldBlock:
             await self._send.send((call, args))
 
-    async def run(self, do: Do, rested: Callable[[], None]) -> None:
-        """Hand every call to `do`, and whenever none waits, `rested`."""
+    async def run(self, make_call: MakeCall, on_empty: Callable[[], None]) -> None:
+        """Pass each call to `make_call`, and `on_empty` whenever the queue has become empty."""
         async for call, args in self._calls:
-            do(call, args)
+            make_call(call, args)
             while True:
                 try:
                     call, args = self._calls.receive_nowait()
                 except anyio.WouldBlock:
                     break
-                do(call, args)
-            do(rested, ())
+                make_call(call, args)
+            make_call(on_empty, ())
 
 
 class Owner(Protocol):
-    """Who owns the decisions, as its neighbours see it: `post` is for every task, and puts one of the other
-    calls in the queue; only what runs in the owner's task makes them at once."""
+    """The owner of the decisions, as other modules use it.
+
+    Any task may call `post`, with one of the other methods as the call; only code that runs in the owner's
+    task calls those directly. `Dispatcher` implements and documents them.
+    """
 
     async def post(self, call: Callable[..., None], *args: Any) -> None: ...
     def take(self, request: Request) -> None: ...
@@ -61,13 +64,20 @@
 
 
 class Noting(Protocol):
-    """Whoever brings the decisions' notes to the other nodes."""
+    """Sends the decisions' notes to the other nodes."""
 
-    def tell(self, payload: bytes) -> None: ...
+    def tell(self, payload: bytes) -> None:
+        """Send one note to all other nodes, without a guarantee of delivery."""
+        ...
 
 
 class Right(Protocol):
-    """What this node may do by what the nodes have settled among themselves; looked up at each use."""
+    """What the cluster permits this node to do; checked at each use."""
+
+    def may_take(self) -> bool:
+        """Return whether new requests may be accepted."""
+        ...
 
-    def may_take(self) -> bool: ...
-    def may_send(self, server: str) -> bool: ...
+    def may_send(self, server: str) -> bool:
+        """Return whether an attempt may be sent to an app server."""
+        ...
--- a/merlintally/net/requests.py
+++ b/merlintally/net/requests.py
@@ -1,4 +1,7 @@
-"""A request as it came from a client: its command, checked, the form for an app server, its attempts."""
+"""Requests of clients: parsing and validation, the command sent to app servers, and attempts.
+
+The texts of `Malformed` errors raised here are sent to clients.
+"""
 
 from __future__ import annotations
 
@@ -14,24 +17,33 @@
 if TYPE_CHECKING:
     from merlintally.choice import Submission
 
-COMMANDS = {b"Q.ASK": (True, 4), b"Q.DO": (False, 5)}  # whether for lanes that may run again; words
-CUSTOMER = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")
-WORD = re.compile(rb"[!-~]{1,64}")  # an id, as app servers and logs can bear it
-NUMERAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")  # stricter than Python, which also reads 1_0 and 1e9
-BESIDE = 1024  # bytes held for a request beside its own
-LIMIT_TERM = re.compile(rb"(?:^|,)d=([^,]*)")
+# Per command: whether it is for lanes whose requests may run more than once, and its number of words.
+COMMANDS = {b"Q.ASK": (True, 4), b"Q.DO": (False, 5)}
+CUSTOMER_PATTERN = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")
+ID_PATTERN = re.compile(rb"[!-~]{1,64}")  # printable, since ids are logged and sent to app servers
+NUMBER_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")  # float() would also accept 1_0 and 1e9
+REQUEST_OVERHEAD_BYTES = 1024  # memory accounted for a request in addition to its command
+DEADLINE_FIELD_PATTERN = re.compile(rb"(?:^|,)d=([^,]*)")
 
 
 class Connection(Protocol):
-    """Whoever brought a request, and is told once its answer is there."""
+    """The client connection on which a request arrived."""
+
+    def write_answers(self) -> None:
+        """Write the answers that are ready, in the order of their commands."""
+        ...
 
-    def pass_on(self) -> None: ...
-    def has_left(self) -> bool: ...
-    def is_unseen(self) -> bool: ...
+    def has_left(self) -> bool:
+        """Return whether the client has ended the connection."""
+        ...
+
+    def end_may_be_unread(self) -> bool:
+        """Return whether the client's end may stand behind bytes that cannot be read yet."""
+        ...
 
 
 class PendingAnswer:
-    """An answer that a client's connection owes, in the order of its commands."""
+    """The place of an answer among those due on a client connection; `answer` is None until it is ready."""
 
     __slots__ = ("answer",)
 
@@ -40,13 +52,13 @@
 
 
 class Request(PendingAnswer):
-    """One request, from its last byte on."""
+    """One request and its state, from the arrival of its last byte."""
 
     __slots__ = (
         "client",
         "raw",
-        "terms_at",
-        "limit_at",
+        "terms_span",
+        "wait_span",
         "lane",
         "customer",
         "plan",
@@ -54,31 +66,34 @@
         "spread",
         "id",
         "deadline",
-        "size",
+        "held_bytes",
         "number",
         "handle",
         "out",
-        "sent",
+        "attempt_count",
         "gone",
         "gone_at",
         "effect",
     )
 
     def __init__(
-        self, client: Connection, raw: bytes, words: list[Span], facts: StartFacts, arrived: float
+        self, client: Connection, raw: bytes, words: list[Span], facts: StartFacts, arrived_at: float
     ) -> None:
-        """Check a command of which `words` are the spans in `raw`; Malformed says what is wrong."""
+        """Parse and check a command; raises Malformed.
+
+        `words` are the spans of its words in `raw`; `arrived_at` is in Unix seconds.
+        """
         super().__init__()
-        repeats, length = COMMANDS[raw[words[0][0] : words[0][1]].upper()]
-        if len(words) != length:
-            raise Malformed(f"this command has {length} words")
-        self.client, self.raw, self.terms_at = client, raw, words[3]
+        repeatable, word_count = COMMANDS[raw[words[0][0] : words[0][1]].upper()]
+        if len(words) != word_count:
+            raise Malformed(f"this command has {word_count} words")
+        self.client, self.raw, self.terms_span = client, raw, words[3]
         customer, self.id = (raw[a:b] for a, b in words[1:3])
-        if not CUSTOMER.fullmatch(customer):
+        if not CUSTOMER_PATTERN.fullmatch(customer):
             raise Malformed("the customer is not 16 hex digits, a number below 2^33")
-        if not WORD.fullmatch(self.id):
+        if not ID_PATTERN.fullmatch(self.id):
             raise Malformed("the id is not 1 to 64 printable characters")
-        terms, self.limit_at = terms_of(raw, self.terms_at)
+        terms, self.wait_span = terms_of(raw, self.terms_span)
         self.lane, self.plan = text(terms, "c"), text(terms, "t")
         self.customer = customer.decode().lower()
         lane = next((one for one in facts.lanes if one.name == self.lane), None)
@@ -86,35 +101,38 @@
             raise Malformed("field 'c' names no lane")
         if not any(plan.name == self.plan for plan in facts.plans):
             raise Malformed("field 't' names no plan")
-        if repeats != (lane.effect == "harmless"):
+        if repeatable != (lane.effect == "harmless"):
             raise Malformed("the lane does not go with the command")
         if lane.effect == "stamped" and not terms.get("k"):
             raise Malformed("field 'k' is missing")
-        for numeral in ("d", "units", "spread", "first"):
-            if not NUMERAL.fullmatch(text(terms, numeral)):
-                raise Malformed(f"field {numeral!r} is no number from 0 to a billion")
-        limit, self.units, self.spread = whole(terms, "d"), number(terms, "units"), whole(terms, "spread")
-        # Guards against units drawn from a customer in whose name somebody else sends what can't be.
+        for field_name in ("d", "units", "spread", "first"):
+            if not NUMBER_PATTERN.fullmatch(text(terms, field_name)):
+                raise Malformed(f"field {field_name!r} is no number from 0 to a billion")
+        wait_ms, self.units, self.spread = whole(terms, "d"), number(terms, "units"), whole(terms, "spread")
+        # Checked here, since units drawn for an impossible request would be charged to its customer.
         if not 0 < self.units <= facts.largest_units:
             raise Malformed("field 'units' is not above 0, or beyond the largest")
         if not 1 <= self.spread <= facts.gateways or whole(terms, "first") >= facts.gateways:
             raise Malformed("fields 'spread' and 'first' name no set of gateways")
-        # Guards against a stated wait of weeks, for as long as which all that belongs to it would be kept.
-        self.deadline, self.size = arrived + min(limit / 1000, lane.hard_limit), len(raw) + BESIDE
-        self.number, self.sent, self.gone = 0, 0, False
-        self.gone_at: float | None = None  # when its client's end was seen
+        # The lane's hard limit bounds for how long the state of a request is kept.
+        self.deadline, self.held_bytes = (
+            arrived_at + min(wait_ms / 1000, lane.hard_limit),
+            len(raw) + REQUEST_OVERHEAD_BYTES,
+        )
+        self.number, self.attempt_count, self.gone = 0, 0, False
+        self.gone_at: float | None = None  # when the end of its client was seen, in Unix seconds
         self.effect = lane.effect
         self.handle: Submission | None = None
         self.out: dict[int, Attempt] = {}
 
     def others(self, attempt: Attempt) -> Iterator[Attempt]:
-        """The attempts of this request that are out beside `attempt`."""
-        return (one for one in self.out.values() if one is not attempt)
+        """Return the other attempts of this request that have not ended."""
+        return (other for other in self.out.values() if other is not attempt)
 
-    def message(self, wait: float) -> list[Buffer]:
-        """The command for an app server, unchanged but for how long the answer is waited for."""
-        raw, (first, last), (start, stop) = memoryview(self.raw), self.terms_at, self.limit_at
-        digits = b"%d" % max(1, int(wait * 1000))
+    def message(self, wait_s: float) -> list[Buffer]:
+        """Return the command for an app server: as received, with `wait_s` as its time to answer in."""
+        raw, (first, last), (start, stop) = memoryview(self.raw), self.terms_span, self.wait_span
+        digits = b"%d" % max(1, int(wait_s * 1000))
         head = self.raw.rindex(b"\r\n", 0, first - 2) + 2
         length = b"$%d\r\n" % (last - first - (stop - start) + len(digits))
         return [raw[:head], length, raw[first:start], digits, raw[stop:]]
@@ -126,32 +144,38 @@
     __slots__ = (
         "request",
         "number",
-        "began",
+        "started_at",
         "until",
         "begin_by",
         "link",
         "written",
         "answered",
-        "over",
+        "finished",
         "refusal",
     )
 
-    def __init__(self, request: Request, number: int, began: float, until: float, begin_by: float) -> None:
-        self.request, self.number, self.began, self.until = request, number, began, until
-        self.begin_by = begin_by  # it is not written later, whenever its connection comes up
-        self.link: object = None  # the connection that carries it, which is for who carries it alone
-        self.written = False  # its last byte is written: from then on it may have run
-        self.answered = False  # its end is on its way to the owner of the decisions
-        self.over = False
-        self.refusal: str | None = None  # why the guard of sends held it back
+    def __init__(
+        self, request: Request, number: int, started_at: float, until: float, begin_by: float
+    ) -> None:
+        self.request, self.number, self.started_at, self.until = request, number, started_at, until
+        self.begin_by = begin_by  # latest time at which it may be written
+        self.link: object = None  # the app server connection that carries it; opaque here
+        self.written = False  # up to its last byte: from then on it may run
+        self.answered = False  # its result is in the queue of the owner of the decisions
+        self.finished = False
+        self.refusal: str | None = None  # why the send guard held it back, if it did
 
     def may_run(self) -> bool:
-        """Whether it is out, and its app server may have begun it."""
-        return self.written and not self.over and not self.answered
+        """Return whether its app server may be running it now, as far as the node has seen."""
+        return self.written and not self.finished and not self.answered
 
 
 class Answer(NamedTuple):
-    """What an app server said of an attempt; `value`, if any, is what the client is told, as a whole."""
+    """The result of an attempt.
+
+    `value` is the complete reply for the client, empty if there is none; `actual` is the cost in units that
+    the app server reported, 0 if none.
+    """
 
     outcome: Outcome
     value: bytes = b""
@@ -160,19 +184,19 @@
 
 
 def terms_of(raw: bytes, span: Span) -> tuple[Fields, Span]:
-    """The names and values of a request, and where the value of `d` stands."""
-    found = raw[span[0] : span[1]]
+    """Return the fields of a request, and the span in `raw` of the value of field `d`."""
+    row = raw[span[0] : span[1]]
     try:
-        words = found.decode("ascii")
+        decoded = row.decode("ascii")
     except UnicodeDecodeError:
         raise Malformed("the list of names and values is not ASCII") from None
     terms: Fields = {}
-    for part in words.split(","):
+    for part in decoded.split(","):
         name, equals, value = part.partition("=")
         if not equals or name in terms:
             raise Malformed("the list of names and values is not of the form name=value")
         terms[name] = value
-    limit = LIMIT_TERM.search(found)
-    if limit is None:
+    wait = DEADLINE_FIELD_PATTERN.search(row)
+    if wait is None:
         raise Malformed("field 'd' is missing")
-    return terms, (span[0] + limit.start(1), span[0] + limit.end(1))
+    return terms, (span[0] + wait.start(1), span[0] + wait.end(1))
--- a/merlintally/net/resp.py
+++ b/merlintally/net/resp.py
@@ -1,51 +1,57 @@
-"""RESP2, parsed in place: what is found are spans of the buffer that was read into."""
+"""A parser and encoder for RESP2.
+
+Parsing is done in place: results are spans of the buffer. Parsing functions return None while the input is
+incomplete, and raise Malformed for input that is invalid or too long.
+"""
 
 from __future__ import annotations
 
 from merlintally.fields import Malformed
 
-MOST_VALUE = 64 << 10  # bytes of one value, by the protocol
-MOST_WORDS = 64
-MOST_LINE = 512
-Span = tuple[int, int]
+MAX_VALUE_BYTES = 64 << 10  # set by the protocol
+MAX_ARRAY_LENGTH = 64
+MAX_LINE_BYTES = 512
+Span = tuple[int, int]  # start and end in a buffer
 
 
-def line_end(buffer: bytearray, start: int, end: int, most: int = MOST_LINE) -> int | None:
-    """Where the line that begins at `start` has its CRLF; None while it has not come."""
+def line_end(buffer: bytearray, start: int, end: int, max_bytes: int = MAX_LINE_BYTES) -> int | None:
+    """Return the position of the CRLF that ends the line at `start`."""
     at = buffer.find(b"\r\n", start, end)
     if at < 0:
-        if end - start > most:
+        if end - start > max_bytes:
             raise Malformed("a line is too long")
         return None
     return at
 
 
-def length_at(buffer: bytearray, start: int, stop: int, most: int) -> int:
-    """The number between `start` and `stop`, -1 for null."""
+def length_at(buffer: bytearray, start: int, stop: int, max_length: int) -> int:
+    """Return the length between `start` and `stop`, -1 for null."""
     digits = bytes(buffer[start:stop])
     if digits == b"-1":
         return -1
     if not digits.isdigit() or len(digits) > 9:
         raise Malformed("a length is no number")
-    found = int(digits)
-    if found > most:
+    length = int(digits)
+    if length > max_length:
         raise Malformed("a length is beyond what is allowed")
-    return found
+    return length
 
 
-def head_at(buffer: bytearray, start: int, end: int, mark: bytes, most: int) -> tuple[int, int] | None:
-    """The number behind `mark` at `start`, and where its line ends; None while it is not whole."""
+def head_at(
+    buffer: bytearray, start: int, end: int, type_byte: bytes, max_length: int
+) -> tuple[int, int] | None:
+    """Return the length in the header line at `start`, and where that line ends."""
     if start >= end:
         return None
-    if buffer[start] != mark[0]:
-        raise Malformed(f"{mark.decode()} was due")
+    if buffer[start] != type_byte[0]:
+        raise Malformed(f"{type_byte.decode()} was due")
     stop = line_end(buffer, start, end)
-    return None if stop is None else (length_at(buffer, start + 1, stop, most), stop + 2)
+    return None if stop is None else (length_at(buffer, start + 1, stop, max_length), stop + 2)
 
 
 def bulk_at(buffer: bytearray, start: int, end: int) -> tuple[Span | None, int] | None:
-    """The span of the bulk string at `start`, None for null, and where it ends; None while not whole."""
-    head = head_at(buffer, start, end, b"$", MOST_VALUE)
+    """Return the span of the bulk string at `start`, None for null, and where it ends."""
+    head = head_at(buffer, start, end, b"$", MAX_VALUE_BYTES)
     if head is None:
         return None
     length, first = head
@@ -60,31 +66,32 @@
 
 
 def array_at(buffer: bytearray, start: int, end: int) -> tuple[list[Span | None], int] | None:
-    """The spans of an array of bulk strings and where it ends; None while it is not whole.
+    """Return the spans of the bulk strings in the array at `start`, None for null, and where it ends.
 
     >>> array_at(bytearray(b"*2\\r\\n$4\\r\\nPING\\r\\n$-1\\r\\n"), 0, 19)
     ([(8, 12), None], 19)
     """
-    head = head_at(buffer, start, end, b"*", MOST_WORDS)
+    head = head_at(buffer, start, end, b"*", MAX_ARRAY_LENGTH)
     if head is None:
         return None
     count, at = head
     spans: list[Span | None] = []
     for _ in range(count):
-        found = bulk_at(buffer, at, end)
-        if found is None:
+        element = bulk_at(buffer, at, end)
+        if element is None:
             return None
-        spans.append(found[0])
-        at = found[1]
+        spans.append(element[0])
+        at = element[1]
     return spans, at
 
 
 def bulk(value: bytes) -> bytes:
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def array(*words: bytes) -> bytes:
-    """An array of bulk strings.
+    """Encode an array of bulk strings.
 
     >>> array(b"PING")
     b'*1\\r\\n$4\\r\\nPING\\r\\n'
--- a/merlintally/net/send_guard.py
+++ b/merlintally/net/send_guard.py
@@ -1,7 +1,8 @@
-"""The one place that says whether an attempt may be written now.
+"""The last check before the bytes of an attempt are written to an app server.
 
-An attempt is decided, then waits: in the decisions' results, for a connection, for room in the system's
-buffer. What was right when it was decided is looked at again here, right before its bytes are written.
+Between the decision to send and the write, an attempt may wait: for its turn among the results, for a
+connection, or for room in the socket's send buffer. The checks
+are repeated here immediately before the write.
 """
 
 from __future__ import annotations
@@ -13,40 +14,43 @@
 from merlintally.net.requests import Attempt
 from merlintally.net.timers import Clock
 
-REST_S = 0.1  # from the first byte of an attempt to its last: the time that it tells is that of the first
+# From the first byte of an attempt to its last. The time to answer in that it states holds at the first byte.
+MAX_PARTIAL_WRITE_S = 0.1
 
 
 class Refusal(StrEnum):
-    """Why an attempt is not written."""
+    """Why an attempt is not written; the member names are keys in the log."""
 
-    ANSWERED = "its request is answered"
-    CLIENT_LEFT = "its client has left"
-    CLIENT_UNSEEN = "its client's end could not be seen behind what is not read"
-    SERVER_LEAVES = "its app server drains or is gone"
-    TOO_LATE = "its time is over, or as a repeat it is no longer remembered"
-    SECOND_COPY = "another attempt of a request that may run once is out"
-    WAIT_PASSED = "half-written, it tells its app server of time that has gone by"
+    ANSWERED = "its request already has an answer"
+    CLIENT_LEFT = "its client has disconnected"
+    CLIENT_UNSEEN = "its client may have disconnected behind unread input"
+    SERVER_LEAVES = "its app server is draining or gone"
+    TOO_LATE = "its deadline, or the deduplication window of a retry, has passed"
+    SECOND_COPY = "another attempt of a one-shot request is in flight"
+    WAIT_PASSED = "it was partly written, and the time to answer in that it states is out of date"
 
 
 class SendGuard:
-    """Looks at an attempt before it is written, and counts what it refused."""
+    """Decides whether an attempt may be written, and counts refusals by reason."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self.refused: Counter[Refusal] = Counter()
 
     def allows(self, attempt: Attempt, presence: Presence) -> bool:
-        """Whether the attempt may be written to its app server, which is listed as `presence`."""
-        return self._note(attempt, self._refusal(attempt, presence))
+        """Return whether an attempt may be written to its app server, which is listed as `presence`."""
+        return self._record(attempt, self._refusal(attempt, presence))
 
     def allows_rest(self, attempt: Attempt, begun_at: float) -> bool:
-        """Whether the rest of one may be written of which the first bytes were at `begun_at`. It is no new
-        one, whatever the list says since."""
-        stale = self._clock.now() - begun_at > REST_S
-        return self._note(attempt, Refusal.WAIT_PASSED if stale else self._refusal(attempt, "on"))
+        """Return whether the rest of an attempt may be written whose first bytes were written at `begun_at`.
 
-    def _note(self, attempt: Attempt, refusal: Refusal | None) -> bool:
-        """Whether there is no refusal; one is counted."""
+        The presence of its app server is not checked again, since the attempt has already begun.
+        """
+        timed_out = self._clock.now() - begun_at > MAX_PARTIAL_WRITE_S
+        return self._record(attempt, Refusal.WAIT_PASSED if timed_out else self._refusal(attempt, "on"))
+
+    def _record(self, attempt: Attempt, refusal: Refusal | None) -> bool:
+        """Count a refusal, if any; return whether there is none."""
         if refusal is None:
             return True
         attempt.refusal = refusal
@@ -60,7 +64,7 @@
         if request.gone or request.client.has_left():
             request.gone = True
             return Refusal.CLIENT_LEFT
-        if request.client.is_unseen():
+        if request.client.end_may_be_unread():
             return Refusal.CLIENT_UNSEEN
         if presence != "on":
             return Refusal.SERVER_LEAVES
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -254,7 +254,7 @@
     that had left."""
     at, dispatcher, clock = silent(), Mock(post=AsyncMock()), Clock()
     deployment = told(known=known(at))
-    client = Mock(has_left=Mock(return_value=False), is_unseen=Mock(return_value=False))
+    client = Mock(has_left=Mock(return_value=False), end_may_be_unread=Mock(return_value=False))
     one = taken(said(), client, Clock().now())
 
     async def act() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -649,7 +649,7 @@
     client = Client(clients, ours)
     client.pending.append(PendingAnswer([b"x" * (8 << 20)]))
     with theirs:
-        client.pass_on()
+        client.write_answers()
         assert clients.held.full and clients.group.start_soon.called
     client.stream.unsent = []
     client._hold_unread()
