--- a/merlintally/net/admission.py
+++ b/merlintally/net/admission.py
@@ -1,9 +1,9 @@
-"""What becomes of a new client connection, and which open ones are closed for it, by the descriptors in use
-(I/O-free).
+"""Admission of client connections, and eviction of idle ones, by the file descriptors in use (I/O-free).
 
-Nothing waits in the listener's backlog for longer than can be helped: a request there counts as taken, and
-its time passes. So the last descriptors meant for clients are not for connections that stay. Of these, most
-carry connections that are closed behind their first answers, and the last few such as are only rejected.
+The deadline of a request runs while its connection waits in the listener's backlog, so connections are
+accepted as early as possible. A reserve of the clients' descriptors is not for persistent connections: most
+of it serves connections that are closed after their first answers, and the rest serves connections whose
+requests are rejected.
 """
 
 from __future__ import annotations
@@ -14,51 +14,53 @@
 from heapq import heapify, heappop
 from typing import Generic, Protocol, TypeVar
 
-LEAST_RESERVE = 2  # descriptors for each kind of connection that does not stay
+MIN_RESERVE = 2  # descriptors for each kind of connection that is not persistent
 
 
 class Admission(Enum):
     """How a new connection is treated."""
 
-    STAYS = "stays"  # as long as its client likes
-    CLOSED_AFTER = "closed after"  # once what has come is answered
-    REJECTED = "rejected"  # its requests are, unless an idle connection gives way, and it is closed
-    WAITS = "waits"  # in the backlog: there is no descriptor for it
+    PERSISTENT = "persistent"
+    CLOSE_AFTER_ANSWERS = "close after answers"  # once all requests received so far are answered
+    REJECT = "reject"  # as above, and its requests are answered as busy unless a connection can be evicted
+    WAIT = "wait"  # in the backlog: no descriptor is available
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    """Numbers of connections up to which new ones are treated as named; beyond `reject` they wait."""
+    """Numbers of open connections below which a new one is treated in each way; from `reject` on it waits."""
 
-    stay: int
-    close_after: int
+    persistent: int
+    close_after_answers: int
     reject: int
 
     @classmethod
-    def of(cls, most: int, reserve_share: float) -> AdmissionLimits:
-        """For `most` descriptors, of which `reserve_share` is not for connections that stay."""
-        reserve = max(2 * LEAST_RESERVE, int(most * reserve_share))
-        rejecting = max(LEAST_RESERVE, reserve // 4)
-        return cls(max(1, most - reserve), max(1, most - rejecting), most)
+    def of(cls, descriptors: int, reserve_share: float) -> AdmissionLimits:
+        """Return the limits for a number of descriptors and the share of them that is held in reserve."""
+        reserve = max(2 * MIN_RESERVE, int(descriptors * reserve_share))
+        reject_reserve = max(MIN_RESERVE, reserve // 4)
+        return cls(max(1, descriptors - reserve), max(1, descriptors - reject_reserve), descriptors)
 
     def admit(self, open_connections: int) -> Admission:
-        """What a new connection gets beside `open_connections`."""
-        if open_connections < self.stay:
-            return Admission.STAYS
-        if open_connections < self.close_after:
-            return Admission.CLOSED_AFTER
-        return Admission.REJECTED if open_connections < self.reject else Admission.WAITS
+        """Return how a new connection is treated while `open_connections` are open."""
+        if open_connections < self.persistent:
+            return Admission.PERSISTENT
+        if open_connections < self.close_after_answers:
+            return Admission.CLOSE_AFTER_ANSWERS
+        return Admission.REJECT if open_connections < self.reject else Admission.WAIT
 
 
 class Evictable(Protocol):
-    """A connection, as far as this module looks at it. Times are seconds of one clock."""
+    """A connection that can be evicted. Times are seconds of one clock."""
 
     closing: bool
-    known: bool  # it has brought a request
-    moved_at: float  # when it last made headway
+    has_sent_request: bool
+    last_progress_at: float  # the last read or write
 
     @property
-    def idle(self) -> bool: ...
+    def idle(self) -> bool:
+        """Whether no answer is due on the connection."""
+        ...
 
 
 Connection = TypeVar("Connection", bound=Evictable)
@@ -66,21 +68,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Eviction(Generic[Connection]):
-    """Which connections are closed first where descriptors run short."""
+    """The order in which idle connections are closed when descriptors run short."""
 
-    rest_s: float  # for which a connection that has brought a request may stand idle, at the least
-    silent_s: float  # the same for one that has brought none
+    min_idle_s: float  # before a connection that has sent a request may be evicted
+    min_silent_s: float  # before one that has sent none may be evicted
 
     def candidates(
         self, connections: Iterable[Connection], now: float, urgent: bool = False
     ) -> Iterator[Connection]:
-        """The one needed least first: one that is closing, one that has brought nothing, the
-        one idle for longest. Where it is `urgent`, silent ones need not have been silent for long."""
-        silent_s = 0.0 if urgent else self.silent_s
+        """Yield connections to evict: closing ones, then those without a request, then the longest idle.
+
+        If `urgent`, `min_silent_s` does not apply.
+        """
+        min_silent_s = 0.0 if urgent else self.min_silent_s
         rows = [
-            (not one.closing, one.known, one.moved_at, number, one)
+            (not one.closing, one.has_sent_request, one.last_progress_at, number, one)
             for number, one in enumerate(connections)
-            if one.idle and (one.closing or now - one.moved_at > (self.rest_s if one.known else silent_s))
+            if one.idle
+            and (
+                one.closing
+                or now - one.last_progress_at > (self.min_idle_s if one.has_sent_request else min_silent_s)
+            )
         ]
         heapify(rows)
         while rows:
--- a/merlintally/net/client_stream.py
+++ b/merlintally/net/client_stream.py
@@ -1,5 +1,8 @@
-"""A client's connection: what may have waited is read until nothing is left, so that an end behind a request
-is seen with it, and each request is known to have come no earlier than a stated moment."""
+"""The stream of a client connection, with a lower bound on when its bytes arrived.
+
+Bytes that may have waited in the receive buffer are read until it is empty, so that a client's end is seen
+together with the requests before it.
+"""
 
 from __future__ import annotations
 
@@ -10,48 +13,52 @@
 from merlintally.net.sockets import Allowance, Stream, passes
 from merlintally.net.timers import Clock
 
-FRESH_S = 0.01  # since bytes can have come, up to which their client's end is not looked for at once
+FRESH_READ_S = 0.01  # younger bytes are handled without reading on first for the client's end
 
 
 class ClientStream(Stream):
-    """A `Stream` that knows how old what it reads may be. `came_after` is a moment (Unix seconds) before
-    which nothing can have come: one at which the connection was not yet there."""
+    """A `Stream` that records the earliest possible arrival of what it reads.
+
+    `not_before` is a time, in Unix seconds, at which the connection did not exist yet.
+    """
 
     def __init__(
-        self, sock: socket.socket, held: Allowance, clock: Clock, ready_times: ReadyTimes, came_after: float
+        self, sock: socket.socket, held: Allowance, clock: Clock, ready_times: ReadyTimes, not_before: float
     ) -> None:
         super().__init__(sock, held)
         self._clock, self._ready_times = clock, ready_times
-        self._arrivals = Arrivals(came_after)
+        self._arrivals = Arrivals(not_before)
 
     async def receive(self) -> int:
-        """Wait for more bytes, and read all there are where they may have waited; 0 when the client has
-        ended, whatever it had sent."""
+        """Wait for more bytes and return their number; 0 if the client has ended the connection.
+
+        Where the bytes may have waited, all that are available are read.
+        """
         count = await super().receive()
         if not count:
             return 0
         arrivals, now = self._arrivals, self._clock.now()
-        arrivals.seen_empty(self._ready_times.since(self.sock.fileno()) + self._clock.offset)
+        arrivals.mark_empty(self._ready_times.since(self.sock.fileno()) + self._clock.offset)
         arrivals.add(count)
-        fresh = now - arrivals.seen_empty_at < FRESH_S
+        fresh = now - arrivals.last_empty_at < FRESH_READ_S
         if self.end < len(self.buffer):
-            arrivals.seen_empty(now)  # it asked for more than there was
+            arrivals.mark_empty(now)  # fewer bytes were available than were asked for
             if fresh:
                 return count
-        more = self._read_what_is_left()
-        return count + more if more is not None else 0
+        remaining = self._read_remaining()
+        return count + remaining if remaining is not None else 0
 
-    def _read_what_is_left(self) -> int | None:
-        """How many bytes more were read without a wait; None when the connection's end was found."""
+    def _read_remaining(self) -> int | None:
+        """Read all available bytes and return their number; None if the connection has ended."""
         total = 0
         while not self.overfull and self._has_room():
             try:
                 count = self.sock.recv_into(memoryview(self.buffer)[self.end :])
             except (BlockingIOError, InterruptedError):
-                self._arrivals.seen_empty(self._clock.now())
+                self._arrivals.mark_empty(self._clock.now())
                 break
-            except OSError as wrong:
-                if passes(wrong):
+            except OSError as error:
+                if passes(error):
                     break
                 self.was_reset = True
                 return None
@@ -69,14 +76,16 @@
         self._grow()
         return True
 
-    def use(self, stop: int) -> float:
-        """The bytes up to `stop` in the buffer are used; gives when the last of them can have come at the
-        earliest, in Unix seconds."""
-        earliest = self._arrivals.use(stop - self.start)
+    def consume(self, stop: int) -> float:
+        """Consume the buffer up to `stop`.
+
+        Returns the earliest time, in Unix seconds, at which the last of these bytes can have arrived.
+        """
+        earliest = self._arrivals.consume(stop - self.start)
         self.start = stop
         return earliest
 
-    def throw_away(self) -> None:
-        """Forget what was read and not used."""
+    def discard(self) -> None:
+        """Discard what was read and not consumed."""
         self.start = self.end = 0
         self._arrivals.clear()
--- a/merlintally/net/clients.py
+++ b/merlintally/net/clients.py
@@ -1,4 +1,4 @@
-"""Clients: the listener, their connections, and the answers they are owed in the order of their commands."""
+"""Client connections: accepting, reading commands, and answering them in order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from merlintally.fields import Malformed
 from merlintally.net.admission import Admission, AdmissionLimits, Eviction
 from merlintally.net.client_stream import ClientStream
-from merlintally.net.closures import BY_CLIENT, CloseReason, Closures
+from merlintally.net.closures import CLOSED_BY_CLIENT, CloseReason, Closures
 from merlintally.net.configuration import Deployment
 from merlintally.net.invariants import Invariant, Invariants
 from merlintally.net.log import Log
@@ -27,266 +27,289 @@
 from merlintally.net.sockets import RETRY_S, Allowance, Buffer, prepared
 from merlintally.net.timers import Clock
 
-AT_ONCE = 16  # connections accepted in a row
-LINGERING = 8  # reads in a row of a connection that is to be closed
-MADE_ROOM = 2 * AT_ONCE  # connections closed at once where descriptors run short
-BUSY = b"-BUSY\r\n"
-ASIDE = (b"PING", b"CLIENT", b"SELECT", b"QUIT")
-SCARCE = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+ACCEPT_BATCH = 16  # connections accepted before other tasks run
+LINGER_READS = 8  # reads of a connection whose sending side is closed, before it is closed completely
+EVICTION_BATCH = 2 * ACCEPT_BATCH  # connections closed at once when descriptors run short
+BUSY_ANSWER = b"-BUSY\r\n"
+CONTROL_COMMANDS = (b"PING", b"CLIENT", b"SELECT", b"QUIT")
+SHORTAGE_ERRNOS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 
 
-def plain(wrong: Malformed) -> bytes:
-    """What is wrong, in a form that an error line may carry."""
-    return " ".join(f"{wrong!s:.200}".split()).encode("ascii", "replace")
+def error_text(error: Malformed) -> bytes:
+    """Return an error as one line of ASCII of limited length, for an error reply."""
+    return " ".join(f"{error!s:.200}".split()).encode("ascii", "replace")
 
 
 class Client:
-    """One connection. Guards against answers that overtake: each command has its place among those due."""
+    """One client connection.
+
+    Each command has an entry in `pending`, so that answers are written in the order of the commands.
+    """
 
     def __init__(
         self,
         clients: Clients,
         sock: socket.socket,
-        came_after: float | None = None,
-        admission: Admission = Admission.STAYS,
+        not_before: float | None = None,
+        admission: Admission = Admission.PERSISTENT,
     ) -> None:
-        """`came_after`: Unix seconds at which the connection was not there yet; the present if None."""
+        """`not_before`: Unix seconds at which the connection did not exist yet; None for the current time."""
         now = clients.clock.now()
         self.clients, self.admission = clients, admission
         self.stream = ClientStream(
-            sock, clients.held, clients.clock, clients.ready_times, now if came_after is None else came_after
+            sock, clients.held, clients.clock, clients.ready_times, now if not_before is None else not_before
         )
         self.pending: deque[PendingAnswer] = deque()
-        self.moved_at = now  # when it last made headway, in either direction
-        self.read_at = self.moved_at  # when something of it was last read
-        self.whole_by = self.moved_at + clients.bounds.client_patience_s  # the command that is being read
+        self.last_progress_at = now  # in either direction
+        self.last_read_at = self.last_progress_at
+        # When the command that is being received has to be complete.
+        self.command_deadline = self.last_progress_at + clients.bounds.client_patience_s
         self.closing = self.ended = False
-        self.close_reason: CloseReason | None = None  # the first one
-        self.retiring = False  # to be closed as soon as it rests
-        self.known = False  # whether it has brought a request
-        self.faults = 0  # since then
-        self.unread = 0  # bytes held of answers that it has not read
-        self._passed = anyio.Event()
+        self.close_reason: CloseReason | None = None  # the first one given
+        self.retiring = False  # to be closed as soon as that loses nothing
+        self.has_sent_request = False
+        self.fault_count = 0  # invalid commands since the last valid request
+        self.unread_bytes = 0  # of answers not written yet, as accounted in `clients.held`
+        self._answers_written = anyio.Event()
 
     @property
-    def who(self) -> str:
-        """Where it comes from, for a line in the log."""
+    def remote_address(self) -> str:
+        """Address and port of the client, for the log."""
         try:
             return ":".join(str(part) for part in self.stream.sock.getpeername())
         except OSError:
-            return "one that has gone"
+            return "disconnected"
 
     @property
-    def address(self) -> str:
-        """Where it comes from, without the port."""
-        return self.who.partition(":")[0]
+    def remote_host(self) -> str:
+        """Address of the client without the port."""
+        return self.remote_address.partition(":")[0]
 
     @property
     def idle(self) -> bool:
-        """Whether it is owed nothing, as far as was read."""
+        """Whether no answer is due to commands read so far."""
         return not self.pending and not self.stream.unsent and not self.ended
 
     @property
     def finished(self) -> bool:
-        """Whether all that it was owed is written, and the end behind it."""
+        """Whether the connection is closing and all answers are written."""
         return self.closing and not self.pending and not self.stream.unsent
 
     @property
-    def rests(self) -> bool:
-        """Whether nothing is owed. Guards against a request that has come whole and is not read yet when
-        its connection is closed: it counts as taken, and would be lost."""
+    def safe_to_close(self) -> bool:
+        """Whether closing loses nothing: no answer is due and no input is unread.
+
+        A complete request in the receive buffer counts as accepted, and would be lost.
+        """
         stream = self.stream
         return not self.pending and not stream.unsent and stream.start == stream.end and stream.quiet()
 
     def has_left(self) -> bool:
-        """Whether its client has ended the connection, also where that has not been read yet."""
+        """Return whether the client has ended the connection, even if its end has not been read yet."""
         if not self.ended and self.stream.peer_ended():
             self.end(CloseReason.CLIENT)
         return self.ended
 
     def end_may_be_unread(self) -> bool:
-        """Whether its client's end could stand behind bytes that there is no room to read."""
+        """Return whether the client's end may stand behind bytes that there is no room to read."""
         stream = self.stream
         return stream.overfull or (stream.end == len(stream.buffer) and self.clients.held.full)
 
     async def run(self) -> None:
-        """Guards against a fault in handling one connection: it ends that one, and no other, and not before
-        what was taken of it is answered."""
+        """Serve the connection until it ends.
+
+        An exception ends this connection only, after the requests accepted on it are answered.
+        """
         try:
-            if not await self._or_tell(self._serve) and not self.ended:
-                await self._or_tell(self._end_after_fault)
+            if not await self._run_logged(self._serve) and not self.ended:
+                await self._run_logged(self._close_after_exception)
         finally:
-            await self._gone()
+            await self._release()
 
-    async def _or_tell(self, handling: Callable[[], Awaitable[None]]) -> bool:
-        """Whether it went well."""
+    async def _run_logged(self, action: Callable[[], Awaitable[None]]) -> bool:
+        """Run `action`, logging an exception; return whether there was none."""
         try:
-            await handling()
+            await action()
             return True
         except Exception:
-            self._tell_fault()
+            self._log_exception()
             return False
 
-    def _tell_fault(self) -> None:
-        self.clients.log.say(f"client {self.who}: {traceback.format_exc()}", "client.failed")
+    def _log_exception(self) -> None:
+        self.clients.log.say(f"client {self.remote_address}: {traceback.format_exc()}", "client.failed")
 
-    async def _end_after_fault(self) -> None:
+    async def _close_after_exception(self) -> None:
         self.close_after_answers(CloseReason.FAILED)
         await self._linger()
 
     async def _serve(self) -> None:
         while not self.closing:
-            if not (got := await self.stream.receive()):
+            if not (count := await self.stream.receive()):
                 self.ended = True
-                self._close_for(CloseReason.CLIENT)
+                self._start_closing(CloseReason.CLIENT)
                 return
-            self.moved_at = self.read_at = self.clients.clock.now()
-            if got == self.stream.end - self.stream.start:
-                self._begins()
+            self.last_progress_at = self.last_read_at = self.clients.clock.now()
+            if count == self.stream.end - self.stream.start:
+                self._restart_command_deadline()
             await self._read_commands()
             if self.clients.held.full:
-                await self._watching(self.clients.held.room)
+                await self._wait_while_reading(self.clients.held.room)
         await self._linger()
 
-    def _close_for(self, reason: CloseReason) -> None:
-        """Take nothing more, and end once all that is owed is answered."""
+    def _start_closing(self, reason: CloseReason) -> None:
+        """Accept no more commands; the connection ends once all answers are written."""
         self.closing = True
         self.close_reason = self.close_reason or reason
 
     def close_after_answers(self, reason: CloseReason) -> None:
-        """The same, and where nothing is owed end at once."""
-        self._close_for(reason)
+        """Accept no more commands, and close once all answers are written: at once if none is due."""
+        self._start_closing(reason)
         self.write_answers()
 
     async def _read_commands(self) -> None:
-        """Take all commands that have come whole; more than may be open wait unread, as do unread answers."""
-        stream, most = self.stream, self.clients.bounds.pipelined
+        """Handle all complete commands in the buffer.
+
+        Pauses while too many commands are open, or while earlier answers cannot be written.
+        """
+        stream, max_open = self.stream, self.clients.bounds.pipelined
         try:
             while not self.closing and stream.start < stream.end:
-                if len(self.pending) >= most or stream.unsent:
-                    await self._watching(self._until_passed)
+                if len(self.pending) >= max_open or stream.unsent:
+                    await self._wait_while_reading(self._until_answers_written)
                     continue
-                found = array_at(stream.buffer, stream.start, stream.end)
-                if found is None:
+                command = array_at(stream.buffer, stream.start, stream.end)
+                if command is None:
                     if stream.overfull:
                         raise Malformed("a command is beyond what is allowed")
                     return
-                spans, stop = found
-                first, came_at = stream.start, stream.use(stop)
-                self._begins()
+                spans, stop = command
+                first, arrived_at = stream.start, stream.consume(stop)
+                self._restart_command_deadline()
                 if not spans:
-                    await self._fault()
+                    await self._penalize_fault()
                 else:
                     raw = bytes(memoryview(stream.buffer)[first:stop])
                     words = [(one[0] - first, one[1] - first) for one in spans if one is not None]
-                    await self._command(raw, words if len(words) == len(spans) else [(0, 0)], came_at)
-        except Malformed as wrong:  # the framing is lost: answer what was taken before, and close
-            self.clients.log.say(f"client {self.who}: {wrong}; its connection is closed", "client.closed")
-            self.pending.append(PendingAnswer([b"-ERR Protocol error: %b\r\n" % plain(wrong)]))
+                    await self._handle_command(
+                        raw, words if len(words) == len(spans) else [(0, 0)], arrived_at
+                    )
+        except Malformed as error:  # framing is lost: answer the commands before it, and close
+            self.clients.log.say(
+                f"client {self.remote_address}: {error}; its connection is closed", "client.closed"
+            )
+            self.pending.append(PendingAnswer([b"-ERR Protocol error: %b\r\n" % error_text(error)]))
             self.close_after_answers(CloseReason.NO_COMMAND)
 
-    def _begins(self) -> None:
-        """A command begins to come, and has to be whole in time; the first one, since the connection came."""
-        if self.known:
-            self.whole_by = self.read_at + self.clients.bounds.client_patience_s
+    def _restart_command_deadline(self) -> None:
+        """Restart the timeout for a complete command, unless no request has been sent yet."""
+        if self.has_sent_request:
+            self.command_deadline = self.last_read_at + self.clients.bounds.client_patience_s
 
-    async def _command(self, raw: bytes, words: list[Span], came_at: float) -> None:
-        """One whole command, the last byte of which came at `came_at` at the earliest."""
+    async def _handle_command(self, raw: bytes, words: list[Span], arrived_at: float) -> None:
+        """Handle one command, whose last byte arrived at `arrived_at` (Unix seconds) at the earliest."""
         name, clients = raw[words[0][0] : words[0][1]].upper(), self.clients
         if name in COMMANDS:
             try:
-                request = self._request_of(raw, words, came_at)
-            except Malformed as wrong:
-                self.pending.append(PendingAnswer([b"-ERR %b\r\n" % plain(wrong)]))
+                request = self._parse_request(raw, words, arrived_at)
+            except Malformed as error:
+                self.pending.append(PendingAnswer([b"-ERR %b\r\n" % error_text(error)]))
                 self.write_answers()
-                await self._fault()
+                await self._penalize_fault()
             else:
-                self.known, self.faults = True, 0
-                if self.admission is not Admission.STAYS:
-                    self._retire_for(CloseReason.FEW_DESCRIPTORS)
-                if self.admission is Admission.REJECTED and not clients.give_way(urgent=True):
-                    self.pending.append(PendingAnswer([BUSY]))
+                self.has_sent_request, self.fault_count = True, 0
+                if self.admission is not Admission.PERSISTENT:
+                    self._start_retiring(CloseReason.FEW_DESCRIPTORS)
+                if self.admission is Admission.REJECT and not clients.evict(urgent=True):
+                    self.pending.append(PendingAnswer([BUSY_ANSWER]))
                     self.write_answers()
                     return
                 self.pending.append(request)
                 clients.held.take(request.held_bytes)
                 await clients.dispatcher.post(clients.dispatcher.take, request)
             return
-        self.pending.append(PendingAnswer([self._aside(name)]))
+        self.pending.append(PendingAnswer([self._control_reply(name)]))
         self.write_answers()
-        if name in ASIDE:
-            await anyio.sleep(0)  # guards against hundreds at once, while all others wait
+        if name in CONTROL_COMMANDS:
+            await anyio.sleep(0)  # let other tasks run between pipelined commands
         else:
-            await self._fault()
+            await self._penalize_fault()
 
-    def _request_of(self, raw: bytes, words: list[Span], came_at: float) -> Request:
-        """The request; Malformed where it is none, or can't be made of it by a fault of this program: it was
-        read, and has to be answered."""
+    def _parse_request(self, raw: bytes, words: list[Span], arrived_at: float) -> Request:
+        """Return the request in a command, or raise Malformed.
+
+        An internal error is logged and raised as Malformed, too, since the command has to be answered.
+        """
         try:
-            return Request(self, raw, words, self.clients.facts, came_at)
+            return Request(self, raw, words, self.clients.facts, arrived_at)
         except Malformed:
             raise
         except Exception:
-            self._tell_fault()
+            self._log_exception()
             raise Malformed("this request can't be handled") from None
 
-    async def _fault(self) -> None:
-        """Guards against one that sends the same again as soon as it is turned away, and takes the CPU that
-        others need: it is answered at once, and read again a little later; after some faults it is closed."""
-        self.faults += 1
-        if self.faults >= self.clients.bounds.faults and not self.closing:
+    async def _penalize_fault(self) -> None:
+        """Pause reading after an invalid command, and close the connection after too many in a row.
+
+        The pause limits the CPU time that a client takes by resending an invalid command.
+        """
+        self.fault_count += 1
+        if self.fault_count >= self.clients.bounds.faults and not self.closing:
             self.clients.log.say(
-                f"client {self.who}: {self.faults} commands in a row can't be taken; its "
+                f"client {self.remote_address}: {self.fault_count} invalid commands in a row; its "
                 "connection is closed",
                 "client.closed",
             )
             self.close_after_answers(CloseReason.FAULTS)
-        await self._watching(partial(anyio.sleep, self.clients.bounds.fault_pause_s))
+        await self._wait_while_reading(partial(anyio.sleep, self.clients.bounds.fault_pause_s))
 
-    async def _watching(self, wait: Callable[[], Awaitable[None]]) -> None:
-        """Wait, and see it when the client leaves meanwhile. Guards against attempts for one that has long
-        gone, whose end stood behind commands that were not read: these are read now, and kept for later."""
+    async def _wait_while_reading(self, wait: Callable[[], Awaitable[None]]) -> None:
+        """Wait while reading ahead into the buffer, so that the client's end is detected meanwhile.
+
+        Otherwise attempts would go on for a client whose end stands behind commands that are not read.
+        """
         async with anyio.create_task_group() as group:
-            group.start_soon(self._read_on, group.cancel_scope)
+            group.start_soon(self._read_ahead, group.cancel_scope)
             await wait()
             group.cancel_scope.cancel()
 
-    async def _read_on(self, waiting: anyio.CancelScope) -> None:
+    async def _read_ahead(self, waiting: anyio.CancelScope) -> None:
         while not self.stream.overfull:
-            if not (got := await self.stream.receive()):
+            if not (count := await self.stream.receive()):
                 self.ended = True
-                self._close_for(CloseReason.CLIENT)
+                self._start_closing(CloseReason.CLIENT)
                 waiting.cancel()
                 return
-            self.read_at = self.clients.clock.now()
-            if got == self.stream.end - self.stream.start:
-                self._begins()
+            self.last_read_at = self.clients.clock.now()
+            if count == self.stream.end - self.stream.start:
+                self._restart_command_deadline()
 
     async def _linger(self) -> None:
-        """Wait for what is owed, then a moment for the other side's end: what it still sends is left unread,
-        or the error could be lost with the connection's reset."""
+        """Wait until all answers are written, then briefly for the client's end, discarding its input.
+
+        Closing with unread input would reset the connection, and the last answers could be lost.
+        """
         while (self.pending or self.stream.unsent) and not self.ended:
-            await self._watching(self._until_passed)
+            await self._wait_while_reading(self._until_answers_written)
         if self.ended:
             return
-        self.stream.throw_away()
+        self.stream.discard()
         with anyio.move_on_after(self.clients.bounds.linger_s):
-            for _ in range(LINGERING):
+            for _ in range(LINGER_READS):
                 if not await self.stream.receive():
                     break
-                self.stream.throw_away()
+                self.stream.discard()
 
-    def _aside(self, name: bytes) -> bytes:
-        """What is spoken beside requests."""
+    def _control_reply(self, name: bytes) -> bytes:
+        """Return the reply to a command that is not a request."""
         if name == b"PING":
             serving = self.clients.phases.current is Phase.SERVING
             return b"+PONG\r\n" if serving else b"-ERR leaving\r\n"
         if name == b"QUIT":
-            self._close_for(CloseReason.ASKED)
-        return b"+OK\r\n" if name in ASIDE else b"-ERR unknown command\r\n"
+            self._start_closing(CloseReason.ASKED)
+        return b"+OK\r\n" if name in CONTROL_COMMANDS else b"-ERR unknown command\r\n"
 
     def write_answers(self) -> None:
-        """Write the answers whose turn has come."""
+        """Write the answers that are ready, in the order of their commands."""
         ready: list[Buffer] = []
         while self.pending and self.pending[0].answer is not None:
             pending = self.pending.popleft()
@@ -294,94 +317,96 @@
             if isinstance(pending, Request):
                 self.clients.held.give(pending.held_bytes)
         if self.closing and not self.pending:
-            ready.extend(self._refusals())
+            ready.extend(self._reject_unhandled())
         if ready and not self.ended:
-            self.moved_at = self.clients.clock.now()
+            self.last_progress_at = self.clients.clock.now()
             try:
                 flushing = bool(self.stream.unsent)
                 if not self.stream.write(ready):
-                    self._hold_unread()
+                    self._account_unread()
                     if not flushing:
                         self.clients.group.start_soon(self._flush)
             except OSError:
                 self.end(CloseReason.BROKEN)
-        self.closing = self.closing or (self.retiring and self.rests)
+        self.closing = self.closing or (self.retiring and self.safe_to_close)
         if self.finished:
             self.stream.end_sending()
-        self._passed.set()
+        self._answers_written.set()
 
-    def _refusals(self) -> Iterator[Buffer]:
-        """The answers to commands that came whole and are not taken up before the connection's end. Guards
-        against a request that is read, and whose connection is closed with no answer."""
+    def _reject_unhandled(self) -> Iterator[Buffer]:
+        """Yield busy answers for complete commands in the buffer that will not be handled any more."""
         stream = self.stream
         try:
-            while (found := array_at(stream.buffer, stream.start, stream.end)) is not None:
-                stream.use(found[1])
-                if found[0]:
-                    self.clients.refused_unopened += 1
-                    yield BUSY
+            while (command := array_at(stream.buffer, stream.start, stream.end)) is not None:
+                stream.consume(command[1])
+                if command[0]:
+                    self.clients.rejected_unhandled += 1
+                    yield BUSY_ANSWER
         except Malformed:
-            return  # the framing is lost: there is no telling what else was asked
+            return  # framing is lost: further commands cannot be recognized
 
-    def _hold_unread(self) -> None:
-        """Guards against memory taken by answers that nobody reads: they count as held until written."""
-        before, self.unread = self.unread, sum(len(part) for part in self.stream.unsent)
-        self.clients.held.take(self.unread)
-        self.clients.held.give(before)
+    def _account_unread(self) -> None:
+        """Account the memory of answers that are not written yet as held."""
+        previous, self.unread_bytes = self.unread_bytes, sum(len(part) for part in self.stream.unsent)
+        self.clients.held.take(self.unread_bytes)
+        self.clients.held.give(previous)
 
-    async def _until_passed(self) -> None:
-        """Wait until answers were passed on, or the connection ended."""
-        self._passed = anyio.Event()
-        await self._passed.wait()
+    async def _until_answers_written(self) -> None:
+        """Wait until `write_answers` has run, or the connection has ended."""
+        self._answers_written = anyio.Event()
+        await self._answers_written.wait()
 
     async def _flush(self) -> None:
         try:
             await self.stream.flush()
         except OSError:
             self.end(CloseReason.BROKEN)
-        self._hold_unread()
-        self.moved_at = self.clients.clock.now()
+        self._account_unread()
+        self.last_progress_at = self.clients.clock.now()
         self.write_answers()
 
     def end(self, reason: CloseReason) -> None:
-        """End it at once, whatever it is owed."""
-        self._close_for(reason)
+        """End the connection at once, even if answers are due."""
+        self._start_closing(reason)
         self.ended = True
         self.stream.hang_up()
-        self._passed.set()
+        self._answers_written.set()
 
     def retire(self, reason: CloseReason) -> None:
-        """Close it once it rests: at once, or when the last of what has come is answered."""
-        self._retire_for(reason)
+        """Close the connection as soon as that loses nothing."""
+        self._start_retiring(reason)
         self.write_answers()
 
-    def _retire_for(self, reason: CloseReason) -> None:
+    def _start_retiring(self, reason: CloseReason) -> None:
         self.retiring = True
         self.close_reason = self.close_reason or reason
 
-    async def _gone(self) -> None:
-        """The connection is over: whoever owns the decisions is told of all that its client waited for."""
-        self._close_for(CloseReason.FAILED)
+    async def _release(self) -> None:
+        """Release the connection, and report its unanswered requests to the owner of the decisions."""
+        self._start_closing(CloseReason.FAILED)
         self.ended = True
         self.stream.close()
         self.stream.unsent = []
-        self._hold_unread()
+        self._account_unread()
         clients = self.clients
         clients.connections.pop(self, None)
         clients.descriptors.give()
-        owed, self.pending = [pending for pending in self.pending if isinstance(pending, Request)], deque()
-        clients.note_end(self, owed)
-        for request in owed:
-            request.gone = True  # guards against sends for it while the word of it waits in a long queue
+        unfinished, self.pending = (
+            [pending for pending in self.pending if isinstance(pending, Request)],
+            deque(),
+        )
+        clients.record_close(self, unfinished)
+        for request in unfinished:
+            request.gone = True  # set at once: the call below may wait in a long queue
             request.gone_at = clients.clock.now()
             clients.held.give(request.held_bytes)
-        for request in owed:
+        for request in unfinished:
             if request.answer is None:
                 await clients.dispatcher.post(clients.dispatcher.left, request)
 
 
 class Clients:
-    """The listener and all connections of clients."""
+    """The listener and all client connections."""
 
     def __init__(
         self,
@@ -396,7 +421,7 @@
         held: Allowance,
         listening_since: float | None = None,
     ) -> None:
-        """`listening_since`: Unix seconds from which on connections may wait; the present if None."""
+        """`listening_since`: Unix seconds since when connections may wait; None for the current time."""
         self.listener, self.phases, self.bounds = listener, phases, deployment.bounds
         self.dispatcher, self.clock, self.log, self.group = dispatcher, clock, log, group
         self.descriptors, self.held = descriptors, held
@@ -405,69 +430,76 @@
         self.closures = Closures()
         self.closed: Counter[CloseReason] = Counter()
         self.invariants = Invariants(log)
-        self.failing_since = float("inf")  # when accepting began to fail, if it does
-        self.refused_unopened = 0  # commands answered as busy since their connections were about to end
+        self.accept_failing_since = float("inf")  # when accepting began to fail; inf while it succeeds
+        self.rejected_unhandled = 0  # commands answered as busy because their connections were closing
         self.ready_times = ready_times()
-        self.limits = AdmissionLimits.of(descriptors.most, self.bounds.client_reserve_share)
+        self.admission_limits = AdmissionLimits.of(descriptors.most, self.bounds.client_reserve_share)
         self.eviction: Eviction[Client] = Eviction(self.bounds.client_rest_s, self.bounds.client_silent_s)
-        # When the listener's backlog was last seen empty: what waits in it came later.
+        # When the listener's backlog was last seen empty: connections in it arrived later.
         self.backlog_empty_at = clock.now() if listening_since is None else listening_since
 
     async def accept(self) -> None:
-        """Take connections as they come. Guards against requests that wait in the backlog while their time
-        passes: where descriptors run short, idle connections are closed for new ones, many at once."""
+        """Accept connections, closing idle ones in batches when descriptors run short.
+
+        Otherwise requests would wait in the backlog while their deadlines run.
+        """
         while True:
-            if self.descriptors.held >= self.limits.stay:
-                self.give_way(MADE_ROOM)
-            if self.descriptors.full and not self.give_way(MADE_ROOM, urgent=True):
+            if self.descriptors.held >= self.admission_limits.persistent:
+                self.evict(EVICTION_BATCH)
+            if self.descriptors.full and not self.evict(EVICTION_BATCH, urgent=True):
                 self.log.say(
-                    "no descriptors are left for clients, and none of them is idle", "clients.descriptors"
+                    "no file descriptors left for clients, and no idle client connection to close",
+                    "clients.descriptors",
                 )
-                with anyio.move_on_after(self.bounds.again_s):  # one may fall idle meanwhile
+                with anyio.move_on_after(self.bounds.again_s):  # until then, a connection may become idle
                     await self.descriptors.room()
                 continue
             if self.descriptors.full:
-                await self.descriptors.room()  # those just ended are closed by their own tasks
+                await self.descriptors.room()  # evicted connections are closed by their own tasks
             await anyio.wait_readable(self.listener)
             ready_since = self.ready_times.since(self.listener.fileno()) + self.clock.offset
             self.backlog_empty_at = max(self.backlog_empty_at, ready_since)
-            failure = self.accept_all(AT_ONCE)
-            await anyio.sleep(0)  # guards against others kept waiting where hundreds connect at once
-            await self._failed_accept(failure)
+            failure = self.accept_pending(ACCEPT_BATCH)
+            await anyio.sleep(0)  # let other tasks run while many clients connect
+            await self._handle_accept_failure(failure)
 
-    async def _failed_accept(self, failure: OSError | None) -> None:
-        """Guards against a loop that spins on a listener it can't accept from, and against clients closed for
-        a call that failed once: room is made only where descriptors stay short."""
+    async def _handle_accept_failure(self, failure: OSError | None) -> None:
+        """Wait before accepting is retried after a failure; None records a success.
+
+        Connections are evicted only if a shortage lasts, and not for a single failure.
+        """
         if failure is None:
-            self.failing_since = float("inf")
+            self.accept_failing_since = float("inf")
             return
         now = self.clock.now()
-        if self.failing_since > now:
-            self.failing_since = now
-            self._tell_of_failed_accept(failure)
-        lasting = now - self.failing_since > self.bounds.shortage_s
-        if lasting and failure.errno in SCARCE:
-            self.give_way(MADE_ROOM, urgent=True)
+        if self.accept_failing_since > now:
+            self.accept_failing_since = now
+            self._log_accept_failure(failure)
+        lasting = now - self.accept_failing_since > self.bounds.shortage_s
+        if lasting and failure.errno in SHORTAGE_ERRNOS:
+            self.evict(EVICTION_BATCH, urgent=True)
         await anyio.sleep(self.bounds.again_s if lasting else RETRY_S)
 
-    def accept_all(self, most: int = 1 << 30, beyond: bool = False) -> OSError | None:
-        """Accept up to `most`; `beyond`: also those for which no descriptors are meant. Gives the error for
-        which the rest still waits: a shortage, or failures in a row."""
+    def accept_pending(self, max_count: int = 1 << 30, beyond_limits: bool = False) -> OSError | None:
+        """Accept up to `max_count` waiting connections; with `beyond_limits`, regardless of admission limits.
+
+        Returns the error that prevented accepting the rest, a shortage or repeated failures; None otherwise.
+        """
         failures = 0
-        for _ in range(most):
-            admission = self.limits.admit(self.descriptors.held)
-            if admission is Admission.WAITS and not beyond:
+        for _ in range(max_count):
+            admission = self.admission_limits.admit(self.descriptors.held)
+            if admission is Admission.WAIT and not beyond_limits:
                 break
             try:
                 sock, _ = self.listener.accept()
             except (BlockingIOError, InterruptedError):
                 self.backlog_empty_at = self.clock.now()
                 return None
-            except OSError as wrong:
+            except OSError as error:
                 failures += 1
-                if wrong.errno in SCARCE or failures == AT_ONCE:
-                    return wrong
-                continue  # the client went away before it was accepted
+                if error.errno in SHORTAGE_ERRNOS or failures == ACCEPT_BATCH:
+                    return error
+                continue  # the client disconnected before it was accepted
             failures = 0
             self.descriptors.take()
             client = Client(self, prepared(sock), self.backlog_empty_at, admission)
@@ -475,70 +507,73 @@
             self.group.start_soon(client.run)
         return None
 
-    def give_way(self, most: int = 1, urgent: bool = False) -> int:
-        """Close up to `most` of the connections that are needed least; gives how many."""
+    def evict(self, max_count: int = 1, urgent: bool = False) -> int:
+        """Close up to `max_count` idle connections, and return how many were closed."""
         closed = 0
         for client in self.eviction.candidates(self.connections, self.clock.now(), urgent):
-            if closed == most:
+            if closed == max_count:
                 break
-            # Else what makes a command whole may have come, or the answer just written would go with a reset.
+            # Unread input may complete a command, and closing over it would reset the connection.
             if client.stream.quiet():
-                if not client.known:
-                    self.closures.add(CloseReason.NO_DESCRIPTOR, client.address)
+                if not client.has_sent_request:
+                    self.closures.add(CloseReason.NO_DESCRIPTOR, client.remote_host)
                 client.end(CloseReason.NO_DESCRIPTOR)
                 closed += 1
         return closed
 
     def sweep(self) -> None:
-        """Guards against connections held for good: in silence, by a command that never becomes whole,
-        however it drips, or by answers that are not read."""
+        """Close connections that are idle, leave a command incomplete, or do not read their answers."""
         now, bounds = self.clock.now(), self.bounds
         for client in list(self.connections):
-            still, stream = now - client.moved_at, client.stream
-            begun = stream.start < stream.end or not client.known
+            stalled_s, stream = now - client.last_progress_at, client.stream
+            receiving = stream.start < stream.end or not client.has_sent_request
             if stream.unsent or (client.closing and not client.pending):
-                if still > bounds.client_stall_s:
+                if stalled_s > bounds.client_stall_s:
                     client.end(CloseReason.STALLED)
-            elif not client.pending and begun and now > client.whole_by:
-                if stream.quiet():  # else what makes it whole may have come
-                    self.closures.add(CloseReason.NO_REQUEST, client.address)
+            elif not client.pending and receiving and now > client.command_deadline:
+                if stream.quiet():  # otherwise unread input may complete the command
+                    self.closures.add(CloseReason.NO_REQUEST, client.remote_host)
                     client.end(CloseReason.NO_REQUEST)
-            elif still > bounds.client_idle_s and client.rests:
+            elif stalled_s > bounds.client_idle_s and client.safe_to_close:
                 client.retire(CloseReason.IDLE)
-        self.closures.tell(self.log)
+        self.closures.log_summary(self.log)
 
     async def stop_listening(self) -> None:
-        """Guards against connections lost between the kernel and the node: all that came are taken first,
-        and where the system fails to hand them over, they are asked for again for a while."""
+        """Accept all waiting connections, retrying failures for a limited time, then close the listener."""
         try:
             with anyio.move_on_after(self.bounds.accept_patience_s):
-                while failure := self.accept_all(beyond=True):
-                    self._tell_of_failed_accept(failure)
+                while failure := self.accept_pending(beyond_limits=True):
+                    self._log_accept_failure(failure)
                     await anyio.sleep(RETRY_S)
         finally:
             self.listener.close()
 
-    def _tell_of_failed_accept(self, failure: OSError) -> None:
-        self.log.say(f"no connection can be accepted: {failure.strerror}", "clients.accept")
+    def _log_accept_failure(self, failure: OSError) -> None:
+        self.log.say(f"cannot accept client connections: {failure.strerror}", "clients.accept")
 
     def retire(self) -> None:
+        """Close each connection as soon as that loses nothing."""
         for client in list(self.connections):
             client.retire(CloseReason.LEAVE)
 
     def read_no_more(self) -> None:
-        """Guards against requests that come on until the process ends, and are lost with it: what is not
-        read when its connection closes is sent again elsewhere."""
+        """Stop reading from all clients, and close each connection once its answers are written.
+
+        Clients send requests that were not read to another node.
+        """
         for client in list(self.connections):
             client.close_after_answers(CloseReason.LEAVE)
 
-    def note_end(self, client: Client, owed: list[Request]) -> None:
-        """Count why a connection ended, and look whether the node owed its client anything."""
+    def record_close(self, client: Client, unfinished: list[Request]) -> None:
+        """Count a closed connection, and check that the node did not close it on unanswered requests."""
         reason = client.close_reason or CloseReason.FAILED
         self.closed[reason] += 1
         now = self.clock.now()
-        lost = [one for one in owed if one.answer is None and not one.gone and now < one.deadline]
-        first = lost[0].id if lost else b""
-        kept = reason in BY_CLIENT or not lost
-        self.invariants.check(kept, Invariant.NO_ANSWER_OWED, first, owed=len(lost), reason=reason.name)
+        unanswered = [one for one in unfinished if one.answer is None and not one.gone and now < one.deadline]
+        first_id = unanswered[0].id if unanswered else b""
+        allowed = reason in CLOSED_BY_CLIENT or not unanswered
+        self.invariants.check(
+            allowed, Invariant.NO_ANSWER_OWED, first_id, owed=len(unanswered), reason=reason.name
+        )
         if self.log.follows:
-            self.log.say("", "connection.closed", reason=reason.name, owed=len(owed))
+            self.log.say("", "connection.closed", reason=reason.name, owed=len(unfinished))
--- a/merlintally/net/closures.py
+++ b/merlintally/net/closures.py
@@ -1,4 +1,4 @@
-"""Why client connections end; those that the node closed for a fault of theirs are told of in one line."""
+"""Reasons for which client connections end, and a log summary of those closed by the node."""
 
 from __future__ import annotations
 
@@ -9,41 +9,42 @@
 
 
 class CloseReason(StrEnum):
-    """Why a client's connection ended."""
+    """Why a client connection ended; the member names are keys and values in the log."""
 
-    CLIENT = "the client ended it"
-    BROKEN = "it broke under a write"
-    ASKED = "the client asked for it"
-    NO_REQUEST = "no whole command in time"
-    NO_DESCRIPTOR = "no descriptor left"
-    STALLED = "its answers are not read"
-    IDLE = "it stood idle"
-    FEW_DESCRIPTORS = "few descriptors were left when it came"
-    FAULTS = "too many commands in a row that can't be taken"
-    NO_COMMAND = "what it says is no command"
-    LEAVE = "the node leaves"
-    FAILED = "a fault of the node"
+    CLIENT = "the client disconnected"
+    BROKEN = "a write failed"
+    ASKED = "the client sent QUIT"
+    NO_REQUEST = "no complete command in time"
+    NO_DESCRIPTOR = "no file descriptor available"
+    STALLED = "answers not read in time"
+    IDLE = "idle timeout"
+    FEW_DESCRIPTORS = "few file descriptors available at accept"
+    FAULTS = "too many invalid commands in a row"
+    NO_COMMAND = "invalid protocol framing"
+    LEAVE = "the node is shutting down"
+    FAILED = "internal error"
 
 
-BY_CLIENT = frozenset({CloseReason.CLIENT, CloseReason.BROKEN})  # whatever it is owed, nobody waits for it
-MOST_ADDRESSES = 1024  # counted apart between two lines
+# The client is gone, and no answer can reach it.
+CLOSED_BY_CLIENT = frozenset({CloseReason.CLIENT, CloseReason.BROKEN})
+MAX_ADDRESSES = 1024  # counted separately between two log lines
 
 
 class Closures:
-    """Guards against a line for each connection of a flood. `tell` says what has gathered."""
+    """Counts closed connections, so that a flood of them is logged in one line by `log_summary`."""
 
     def __init__(self) -> None:
         self._reasons: Counter[CloseReason] = Counter()
         self._addresses: Counter[str] = Counter()
 
     def add(self, reason: CloseReason, address: str) -> None:
-        """One connection from `address` (without its port) was closed."""
+        """Count a closed connection from `address` (without its port)."""
         self._reasons[reason] += 1
-        if address in self._addresses or len(self._addresses) < MOST_ADDRESSES:
+        if address in self._addresses or len(self._addresses) < MAX_ADDRESSES:
             self._addresses[address] += 1
 
-    def tell(self, log: Log) -> None:
-        """Say how many were closed since the last line, why, and from where most of them came."""
+    def log_summary(self, log: Log) -> None:
+        """Log the number of connections closed since the last call, with reasons and the busiest address."""
         if not self._reasons:
             return
         reasons = ", ".join(f"{count} with {reason}" for reason, count in self._reasons.most_common())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -43,7 +43,7 @@
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     client = Client(clients, ours)
-    clients.connections[client], client.known = None, True
+    clients.connections[client], client.has_sent_request = None, True
     return client, theirs
 
 
@@ -89,17 +89,17 @@
 
     clients.dispatcher = Mock(post=post)
     with theirs:
-        anyio.run(client._gone)
+        anyio.run(client._release)
     assert seen == [True] * 9
 
 
 def test_half_a_command_that_comes_while_answers_are_awaited_has_its_own_time_to_be_whole() -> None:
     clients = clients_of()
     client, theirs = client_of(clients)
-    client.whole_by = client.read_at - 1.0
+    client.command_deadline = client.last_read_at - 1.0
 
     async def act() -> None:
-        await client._watching(come)
+        await client._wait_while_reading(come)
 
     async def come() -> None:
         theirs.sendall(said()[:9])
@@ -107,16 +107,16 @@
 
     with theirs:
         anyio.run(act)
-        assert client.whole_by > clients.clock.now()
+        assert client.command_deadline > clients.clock.now()
     client.stream.sock.close()
 
 
 # The node closes a connection.
 
-CLOSING: list[Callable[[Clients], object]] = [Clients.sweep, Clients.give_way, Clients.retire]
+CLOSING: list[Callable[[Clients], object]] = [Clients.sweep, Clients.evict, Clients.retire]
 
 
-@pytest.mark.parametrize("close", CLOSING, ids=["sweep", "give_way", "retire"])
+@pytest.mark.parametrize("close", CLOSING, ids=["sweep", "evict", "retire"])
 @pytest.mark.parametrize("begun", [0, 9], ids=["resting", "begun"])
 def test_a_submission_that_has_come_is_not_lost_with_its_connection(
     close: Callable[[Clients], object], begun: int
@@ -125,7 +125,7 @@
     clients, raw = clients_of(), said()
     client, theirs = client_of(clients)
     client.stream.buffer[:begun], client.stream.end = raw[:begun], begun
-    client.moved_at = client.whole_by = client.moved_at - 100.0
+    client.last_progress_at = client.command_deadline = client.last_progress_at - 100.0
     with theirs:
         theirs.sendall(raw[begun:])
         close(clients)
@@ -143,9 +143,9 @@
     client.closing = True
     with theirs:
         theirs.sendall(said())
-        assert not clients.give_way() and not client.ended
+        assert not clients.evict() and not client.ended
         client.stream.sock.recv(1 << 16)
-        assert clients.give_way() and client.ended
+        assert clients.evict() and client.ended
     client.stream.sock.close()
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -15,8 +15,8 @@
 
 from merlintally.net import EdgeNode
 from merlintally.net.admission import Admission, AdmissionLimits, Eviction
-from merlintally.net.arrivals import MOST_SEGMENTS, Arrivals
-from merlintally.net.client_stream import FRESH_S
+from merlintally.net.arrivals import MAX_SEGMENTS, Arrivals
+from merlintally.net.client_stream import FRESH_READ_S
 from merlintally.net.closures import CloseReason, Closures
 from merlintally.net.configuration import Bounds, Faulty, deployment_of
 from merlintally.net.log import Log
@@ -177,7 +177,7 @@
         for _ in range(3):  # with no wait between: the node shares this loop, and accepts them afterwards
             with socket.create_connection(scene.node.address) as sock:
                 sock.sendall(said())
-        time.sleep(2 * FRESH_S)  # longer changes nothing: the loop stands still
+        time.sleep(2 * FRESH_READ_S)  # longer changes nothing: the loop stands still
         assert (await ask_once(scene)).what == SERVED
 
     play(told(known=known(at), bounds=Bounds(rest_s=0.001)), act, at)
@@ -262,21 +262,21 @@
 def test_the_last_descriptors_are_for_connections_that_do_not_stay() -> None:
     limits = AdmissionLimits.of(416, 0.125)
     treated = [limits.admit(held) for held in range(417)]
-    assert treated[0] is Admission.STAYS and treated[416] is Admission.WAITS
+    assert treated[0] is Admission.PERSISTENT and treated[416] is Admission.WAIT
     assert [treated.count(one) for one in Admission] == [364, 39, 13, 1]
 
 
 @pytest.mark.parametrize("most", range(8, 40))
 def test_few_descriptors_still_have_each_kind(most: int) -> None:
     limits = AdmissionLimits.of(most, 0.125)
-    assert 1 <= limits.stay < limits.close_after < limits.reject == most
+    assert 1 <= limits.persistent < limits.close_after_answers < limits.reject == most
 
 
 @dataclass
 class Row:
     closing: bool
-    known: bool
-    moved_at: float
+    has_sent_request: bool
+    last_progress_at: float
     idle: bool = True
 
 
@@ -284,13 +284,13 @@
     closing, silent = Row(True, True, 9.9), Row(False, False, 9.0)
     older, old = Row(False, True, 1.0), Row(False, True, 2.0)
     rows = [Row(False, True, 9.0), old, Row(False, True, 0.0, idle=False), older, silent, closing]
-    eviction: Eviction[Row] = Eviction(rest_s=2.0, silent_s=0.25)
+    eviction: Eviction[Row] = Eviction(min_idle_s=2.0, min_silent_s=0.25)
     assert list(eviction.candidates(rows, 10.0)) == [closing, silent, older, old]
 
 
 def test_where_it_is_urgent_silent_ones_give_way_early_and_those_that_asked_do_not() -> None:
     rows = [Row(False, False, 9.9), Row(False, True, 9.0)]
-    eviction: Eviction[Row] = Eviction(rest_s=2.0, silent_s=0.25)
+    eviction: Eviction[Row] = Eviction(min_idle_s=2.0, min_silent_s=0.25)
     assert not list(eviction.candidates(rows, 10.0))
     assert list(eviction.candidates(rows, 10.0, urgent=True)) == rows[:1]
 
@@ -298,27 +298,32 @@
 def test_bytes_are_no_younger_than_the_connection_seen_empty_before_them() -> None:
     arrivals = Arrivals(1.0)
     arrivals.add(10)
-    arrivals.seen_empty(2.0)
+    arrivals.mark_empty(2.0)
     arrivals.add(10)
-    assert [arrivals.use(5), arrivals.use(5), arrivals.use(3), arrivals.use(7)] == [1.0, 1.0, 2.0, 2.0]
+    assert [arrivals.consume(5), arrivals.consume(5), arrivals.consume(3), arrivals.consume(7)] == [
+        1.0,
+        1.0,
+        2.0,
+        2.0,
+    ]
 
 
 def test_a_request_is_as_old_as_its_last_byte() -> None:
     arrivals = Arrivals(1.0)
     arrivals.add(10)
-    arrivals.seen_empty(2.0)
+    arrivals.mark_empty(2.0)
     arrivals.add(10)
-    assert arrivals.use(11) == 2.0
+    assert arrivals.consume(11) == 2.0
 
 
 def test_many_small_reads_are_joined_and_never_made_younger() -> None:
     arrivals, exact = Arrivals(0.0), list[float]()
-    for at in range(3 * MOST_SEGMENTS):
-        arrivals.seen_empty(float(at))
+    for at in range(3 * MAX_SEGMENTS):
+        arrivals.mark_empty(float(at))
         arrivals.add(1)
         exact.append(float(at))
-    assert len(arrivals._segments) == MOST_SEGMENTS
-    assert all(arrivals.use(1) <= one for one in exact)
+    assert len(arrivals._segments) == MAX_SEGMENTS
+    assert all(arrivals.consume(1) <= one for one in exact)
 
 
 def test_a_poll_tells_since_when_a_socket_can_have_been_readable() -> None:
@@ -347,8 +352,8 @@
     log = Log("n", 1000.0, heard)
     for address in ("10.0.0.1", "10.0.0.2", "10.0.0.2"):
         closures.add(CloseReason.NO_REQUEST, address)
-    closures.tell(log)
-    closures.tell(log)
+    closures.log_summary(log)
+    closures.log_summary(log)
     assert heard.getvalue().count("\n") == 1
     assert (
         f"3 with {CloseReason.NO_REQUEST}; from 2 addresses, most from client 10.0.0.2 (2)"
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -182,7 +182,7 @@
                 await scene.hear(sock)
 
     log = play(told(known=known(at), bounds=bounds), act, at)
-    told_of = [line.split(" with no whole command in time") for line in log.splitlines()]
+    told_of = [line.split(" with no complete command in time") for line in log.splitlines()]
     closed = [int(line[0].split()[-1]) for line in told_of if len(line) == 2]
     assert sum(closed) == 4 and "client 127.0.0.1 " in log
 
@@ -201,7 +201,7 @@
         assert anyio.current_time() - began > 0.12
 
     log = play(told(bounds=Bounds(faults=8, fault_pause_s=0.02)), act)
-    assert log.count("8 commands in a row can't be taken") == 3
+    assert log.count("8 invalid commands in a row") == 3
     assert heard[0].startswith(b"-ERR") and heard[1].count(b"-ERR") == 8
 
 
@@ -652,7 +652,7 @@
         client.write_answers()
         assert clients.held.full and clients.group.start_soon.called
     client.stream.unsent = []
-    client._hold_unread()
+    client._account_unread()
     ours.close()
     assert clients.held.held == 0
 
