--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,5 @@
-"""Events that cross: stand-ins hold a byte, a close or an answer until told, so that the bad order comes
-about every time. The rows of docs/crossings.md name these tests."""
+"""Races between events. Stand-ins hold back a byte, a close or an answer, so that the order of events under
+test occurs in each run. The rows of docs/crossings.md name these tests."""
 
 import socket
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 def clients_of(**bounds: Any) -> Clients:
-    """A node's clients without a node, with room for one connection."""
+    """Return the `Clients` of a node, without the node, with descriptors for one connection."""
     deployment = told(bounds=Bounds(**bounds))
     return Clients(
         deployment,
@@ -47,11 +47,11 @@
     return client, theirs
 
 
-# A client leaves.
+# A client disconnects.
 
 
 @pytest.mark.parametrize(
-    "behind, changes",
+    "unread_input, changes",
     [
         (said(), {"bounds": Bounds(pipelined=1)}),
         (array(b"nap"), {"bounds": Bounds(fault_pause_s=5.0)}),
@@ -59,25 +59,25 @@
     ],
     ids=["answers awaited", "pause for a fault", "no room"],
 )
-def test_a_client_that_leaves_behind_what_is_not_read_is_gone(behind: bytes, changes: dict[str, Any]) -> None:
-    """Its end stood behind bytes that the node did not read, and its attempt went on to the hard limit."""
-    at = silent()
+def test_a_disconnect_behind_unread_input_is_detected(unread_input: bytes, changes: dict[str, Any]) -> None:
+    """Otherwise its attempt goes on until the hard limit."""
+    backend = silent()
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
-        sock.sendall(said() + behind)
-        await until(lambda: bool(at.heard))
+        sock.sendall(said() + unread_input)
+        await until(lambda: bool(backend.heard))
         sock.close()
         with anyio.fail_after(0.8):
-            while not at.ends:
+            while not backend.ends:
                 await anyio.sleep(0.002)
 
-    play(told(known=known(at), **changes), act, at)
-    assert len(at.heard) == 1
+    play(told(known=known(backend), **changes), act, backend)
+    assert len(backend.heard) == 1
 
 
-def test_what_a_client_that_left_had_asked_is_marked_before_word_of_it_waits_in_the_queue() -> None:
-    """Sends for it went out while the word of its leaving stood behind thousands of other calls."""
+def test_requests_of_a_disconnected_client_are_marked_before_the_call_waits_in_the_queue() -> None:
+    """Otherwise attempts are sent for it while the call waits behind others in the queue."""
     clients = clients_of()
     client, theirs = client_of(clients)
     owed = [taken(said(), client) for _ in range(3)]
@@ -93,15 +93,15 @@
     assert seen == [True] * 9
 
 
-def test_half_a_command_that_comes_while_answers_are_awaited_has_its_own_time_to_be_whole() -> None:
+def test_a_partial_command_read_while_answers_are_due_has_its_own_deadline() -> None:
     clients = clients_of()
     client, theirs = client_of(clients)
     client.command_deadline = client.last_read_at - 1.0
 
     async def act() -> None:
-        await client._wait_while_reading(come)
+        await client._wait_while_reading(receive_partial_command)
 
-    async def come() -> None:
+    async def receive_partial_command() -> None:
         theirs.sendall(said()[:9])
         await until(lambda: client.stream.end > 0)
 
@@ -113,31 +113,31 @@
 
 # The node closes a connection.
 
-CLOSING: list[Callable[[Clients], object]] = [Clients.sweep, Clients.evict, Clients.retire]
+CLOSE_METHODS: list[Callable[[Clients], object]] = [Clients.sweep, Clients.evict, Clients.retire]
 
 
-@pytest.mark.parametrize("close", CLOSING, ids=["sweep", "evict", "retire"])
-@pytest.mark.parametrize("begun", [0, 9], ids=["resting", "begun"])
-def test_a_submission_that_has_come_is_not_lost_with_its_connection(
-    close: Callable[[Clients], object], begun: int
+@pytest.mark.parametrize("close", CLOSE_METHODS, ids=["sweep", "evict", "retire"])
+@pytest.mark.parametrize("read_bytes", [0, 9], ids=["nothing read", "partly read"])
+def test_a_received_request_is_not_lost_when_its_connection_is_closed(
+    close: Callable[[Clients], object], read_bytes: int
 ) -> None:
-    """It was whole in the kernel's buffer, and unread, when its connection was closed for its silence."""
+    """A connection with unread input in the receive buffer is not closed as idle."""
     clients, raw = clients_of(), said()
     client, theirs = client_of(clients)
-    client.stream.buffer[:begun], client.stream.end = raw[:begun], begun
+    client.stream.buffer[:read_bytes], client.stream.end = raw[:read_bytes], read_bytes
     client.last_progress_at = client.command_deadline = client.last_progress_at - 100.0
     with theirs:
-        theirs.sendall(raw[begun:])
+        theirs.sendall(raw[read_bytes:])
         close(clients)
         assert not client.closing and not client.ended
         client.stream.sock.recv(1 << 16)
         close(clients)
-        assert client.closing or client.ended or (begun and client.retiring)
+        assert client.closing or client.ended or (read_bytes and client.retiring)
     client.stream.sock.close()
 
 
-def test_a_connection_that_is_closing_does_not_give_way_over_unread_bytes() -> None:
-    """A close over unread bytes resets the connection, and the answer that just went out goes with it."""
+def test_a_closing_connection_with_unread_input_is_not_evicted() -> None:
+    """Closing with unread input resets the connection, and the last answer may be lost."""
     clients = clients_of()
     client, theirs = client_of(clients)
     client.closing = True
@@ -149,57 +149,57 @@
     client.stream.sock.close()
 
 
-def test_a_node_told_to_leave_closes_what_rests_and_answers_what_has_begun() -> None:
-    at, heard = server(), list[bytes]()
+def test_a_leaving_node_closes_idle_connections_and_answers_partial_requests() -> None:
+    backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
         raw = said()
-        resting, begun = await scene.connect(), await scene.connect()
-        resting.sendall(said())
-        heard.append(await scene.hear(resting, until=1))
-        begun.sendall(raw[:40])
+        idle, partial = await scene.connect(), await scene.connect()
+        idle.sendall(said())
+        answers.append(await scene.hear(idle, until=1))
+        partial.sendall(raw[:40])
         scene.node.leave()
         await scene.node.phases.reached(Phase.FINISHING)
-        heard.append(await scene.hear(resting))
-        begun.sendall(raw[40:])
-        heard.append(await scene.hear(begun))
+        answers.append(await scene.hear(idle))
+        partial.sendall(raw[40:])
+        answers.append(await scene.hear(partial))
         await scene.node.phases.reached(Phase.ENDED)
 
-    play(told(known=known(at), bounds=Bounds(leave_s=0.05)), act, at)
-    assert heard == [HI, b"", HI] and len(at.heard) == 2
+    play(told(known=known(backend), bounds=Bounds(leave_s=0.05)), act, backend)
+    assert answers == [HI, b"", HI] and len(backend.heard) == 2
 
 
-def test_a_client_that_keeps_its_end_open_does_not_hold_up_the_leave() -> None:
+def test_a_client_that_does_not_disconnect_does_not_delay_the_shutdown() -> None:
     async def act(scene: Scene) -> None:
-        deaf = await scene.connect()
+        idle = await scene.connect()
         scene.node.leave()
         with anyio.fail_after(1.5):
             await scene.node.phases.reached(Phase.ENDED)
-        deaf.close()
+        idle.close()
 
     play(told(bounds=Bounds(leave_s=0.05)), act)
 
 
-def test_nothing_is_read_any_more_when_what_is_open_is_ended() -> None:
-    """A client that had begun one more command was cut off only with the process, over what it still sent."""
-    at, heard, phases = silent(), list[bytes](), list[Phase]()
+def test_no_input_is_read_after_open_requests_are_ended() -> None:
+    """A client that is sending another command is disconnected before the process ends."""
+    backend, answers, phases = silent(), list[bytes](), list[Phase]()
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
         sock.sendall(said())
-        await until(lambda: bool(at.heard))
+        await until(lambda: bool(backend.heard))
         sock.sendall(said()[:40])
         scene.node.leave()
-        heard.append(await scene.hear(sock))
+        answers.append(await scene.hear(sock))
         phases.append(scene.node.phases.current)
         sock.close()
 
-    play(told(known=known(at), bounds=Bounds(leave_s=0.05, finish_s=0.2)), act, at)
-    assert heard[0].startswith(b"-BUSY") and phases == [Phase.FINISHING] and len(at.heard) == 1
+    play(told(known=known(backend), bounds=Bounds(leave_s=0.05, finish_s=0.2)), act, backend)
+    assert answers[0].startswith(b"-BUSY") and phases == [Phase.FINISHING] and len(backend.heard) == 1
 
 
-def test_a_submission_read_after_all_has_ended_is_bounced_and_never_sent() -> None:
-    """Sends of what came on connections still open went out with nobody left to hand on the answer."""
+def test_a_request_read_after_open_requests_are_ended_is_bounced_and_not_sent() -> None:
+    """No task would be left to deliver the answer."""
     dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0))
     dispatcher.timers, dispatcher.fleet = Mock(), Mock()
     dispatcher.listed(
@@ -213,7 +213,7 @@
     assert late.answer == [b"-BUSY\r\n"] and not dispatcher.fleet.send.called
 
 
-def test_a_connection_that_came_before_the_listener_closes_is_taken_beyond_the_descriptors() -> None:
+def test_connections_waiting_when_the_listener_closes_are_accepted_beyond_the_limit() -> None:
     clients = clients_of()
     clients.descriptors.take()
     clients.listener = socket.create_server(("127.0.0.1", 0))
@@ -225,19 +225,18 @@
             client.stream.sock.close()
 
 
-def test_a_node_with_short_hard_limits_has_ended_before_it_is_killed() -> None:
-    """It waited 3.4 s for a client with half a command, and was killed with answers unwritten at 0.7 s after
-    the longest hard limit."""
+def test_a_node_with_short_hard_limits_shuts_down_in_time() -> None:
+    """It has to end within 0.7 s after the longest hard limit, when it is killed."""
     deployment = told(bounds=Bounds(leave_s=0.05))
     lanes = tuple(replace(lane, quoted_time=0.1, hard_limit=0.2) for lane in deployment.facts.lanes)
 
     async def act(scene: Scene) -> None:
-        half = await scene.connect()
-        half.sendall(said()[:9])
+        partial = await scene.connect()
+        partial.sendall(said()[:9])
         scene.node.leave()
         with anyio.fail_after(2.0):
             await scene.node.phases.reached(Phase.ENDED)
-        half.close()
+        partial.close()
 
     bounds = deployment.bounds
     assert bounds.finish_beyond_s + bounds.late_s + min(bounds.linger_s, bounds.late_s) < 0.7
@@ -245,15 +244,15 @@
     play(replace(deployment, facts=replace(deployment.facts, lanes=lanes)), act)
 
 
-# What was decided before and is written later.
+# Decisions that are out of date when they are carried out.
 
 
 @pytest.mark.parametrize("change", ["late", "gone", "draining"])
-def test_what_was_decided_is_looked_up_again_when_its_connection_comes_up(change: str) -> None:
-    """A connection that came up late carried a repeat out of its window, to one that drained, or for a client
-    that had left."""
-    at, dispatcher, clock = silent(), Mock(post=AsyncMock()), Clock()
-    deployment = told(known=known(at))
+def test_an_attempt_is_checked_again_when_its_connection_opens(change: str) -> None:
+    """Otherwise a slow connect sends a retry outside its deduplication window, to a draining server, or for a
+    disconnected client."""
+    backend, dispatcher, clock = silent(), Mock(post=AsyncMock()), Clock()
+    deployment = told(known=known(backend))
     client = Mock(has_left=Mock(return_value=False), end_may_be_unread=Mock(return_value=False))
     one = taken(said(), client, Clock().now())
 
@@ -274,23 +273,23 @@
                     [replace(row, facts=replace(row.facts, presence="draining")) for row in deployment.known],
                     False,
                 )
-            group.start_soon(at.run)
+            group.start_soon(backend.run)
             await until(lambda: dispatcher.post.called)
             group.cancel_scope.cancel()
 
     anyio.run(act)
-    at.sock.close()
-    assert dispatcher.post.call_args.args[-1].outcome == "unreachable" and not at.heard
+    backend.sock.close()
+    assert dispatcher.post.call_args.args[-1].outcome == "unreachable" and not backend.heard
 
 
-def test_a_connection_that_its_server_is_about_to_close_is_not_used_between_two_sweeps() -> None:
-    """With servers that close after a second, one was written to 0.1 s before: what crosses may have run."""
-    at, clock = silent(), Clock()
-    deployment = told(known=known(at), idle_close=1.0)
+def test_a_connection_that_its_server_may_close_soon_is_not_used_between_sweeps() -> None:
+    """A request that crosses the server's close may have run."""
+    backend, clock = silent(), Clock()
+    deployment = told(known=known(backend), idle_close=1.0)
     fleet = Fleet(deployment, Mock(), clock, Log("n", 9.0), Mock(), Allowance(9), Allowance(1 << 20))
     fleet.roster(deployment.known, True)
     links = [Mock(idle_since=clock.now() - ago) for ago in (0.9, 0.3, 0.001)]
     fleet.servers["s0"].idle.extend(links)
     assert fleet._rested(fleet.servers["s0"]) is links[1]
     assert fleet._rested(fleet.servers["s0"]) is None
-    at.sock.close()
+    backend.sock.close()
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,5 +1,5 @@
-"""Crowds of client connections: with descriptors full, clients gone and requests that waited, each request
-still has its answer or the end of its connection in time, and none is served late."""
+"""Many client connections at once. When descriptors run out, clients disconnect and requests wait, each
+request is answered, or its connection closed, in time, and none is served late."""
 
 import io
 import socket
@@ -22,7 +22,7 @@
 from merlintally.net.log import Log
 from merlintally.net.polling import UNKNOWN, ObservedLoop, ObservedSelector, ReadyTimes
 
-LIMIT_S = 1.0  # how long the clients of these tests wait
+CLIENT_TIMEOUT_S = 1.0
 TERMS = b"c=look,t=plan,d=1000,units=1,spread=1,first=0"
 SERVED = "served"
 REJECTED = "rejected"
@@ -30,15 +30,15 @@
 
 
 @dataclass(frozen=True)
-class Heard:
-    """What became of one request, and after how many seconds."""
+class Outcome:
+    """The outcome of one request."""
 
-    what: str
-    after_s: float
+    kind: str  # SERVED, REJECTED or CLOSED
+    elapsed_s: float
 
 
 async def connected(scene: Scene) -> socket.socket:
-    """A new connection. The node shares this loop, so nothing here may block."""
+    """Open a connection without blocking, since the node runs in the same event loop."""
     sock = socket.socket()
     sock.setblocking(False)
     with suppress(BlockingIOError):
@@ -47,45 +47,46 @@
     return sock
 
 
-async def ask_once(scene: Scene, terms: bytes = TERMS) -> Heard:
-    """One request on a new connection, as a client that takes the first whole answer or end it sees."""
+async def ask_once(scene: Scene, terms: bytes = TERMS) -> Outcome:
+    """Send one request on a new connection, and wait for an answer or the connection's end."""
     began = time.monotonic()
     sock = await connected(scene)
     with sock:
         sock.sendall(said(terms=terms))
-        heard = await scene.hear(sock, until=1)
-    what = SERVED if heard == HI else REJECTED if heard.startswith(b"-BUSY") else CLOSED
-    assert what != CLOSED or not heard, heard
-    return Heard(what, time.monotonic() - began)
+        answers = await scene.hear(sock, until=1)
+    kind = SERVED if answers == HI else REJECTED if answers.startswith(b"-BUSY") else CLOSED
+    assert kind != CLOSED or not answers, answers
+    return Outcome(kind, time.monotonic() - began)
 
 
 async def warm_up(scene: Scene) -> None:
-    """Some answers of the app server, without which the decisions let few requests out at once."""
+    """Make some requests in sequence: without measured answers the decisions allow few at once."""
     for _ in range(20):
-        assert (await ask_once(scene)).what == SERVED
+        assert (await ask_once(scene)).kind == SERVED
 
 
-async def ask_all(scene: Scene, count: int) -> list[Heard]:
-    found = list[Heard]()
+async def ask_all(scene: Scene, count: int) -> list[Outcome]:
+    outcomes = list[Outcome]()
 
     async def one() -> None:
-        found.append(await ask_once(scene))
+        outcomes.append(await ask_once(scene))
 
     async with anyio.create_task_group() as group:
         for _ in range(count):
             group.start_soon(one)
-    return found
+    return outcomes
 
 
-def all_in_time(found: list[Heard], count: int) -> bool:
-    """Whether each request ended within its time and half a second, and none was served after its time."""
-    return len(found) == count and all(
-        one.after_s < (LIMIT_S if one.what == SERVED else LIMIT_S + 0.5) for one in found
+def all_in_time(outcomes: list[Outcome], count: int) -> bool:
+    """Return whether all were served within the timeout, or ended at most half a second after it."""
+    return len(outcomes) == count and all(
+        one.elapsed_s < (CLIENT_TIMEOUT_S if one.kind == SERVED else CLIENT_TIMEOUT_S + 0.5)
+        for one in outcomes
     )
 
 
 async def hold(scene: Scene, stack: ExitStack, count: int, words: bytes) -> list[socket.socket]:
-    """Open connections that send `words` and stay; those that the node ends meanwhile are ended."""
+    """Open connections that send `words`, or else a request each, and keep them open."""
     held = list[socket.socket]()
     for number in range(count):
         sock = stack.enter_context(await connected(scene))
@@ -98,30 +99,30 @@
 @pytest.mark.parametrize(
     "count, words",
     [(150, b""), (400, b""), (600, said()[:40]), (600, b"*")],
-    ids=["150 asked once", "400 asked once", "600 half a command", "600 one byte"],
+    ids=["150 one request", "400 one request", "600 partial command", "600 one byte"],
 )
-def test_requests_beside_a_crowd_end_in_time_and_the_node_takes_new_clients_at_once(
+def test_requests_among_many_connections_end_in_time_and_new_clients_are_served(
     count: int, words: bytes
 ) -> None:
-    """They waited in the backlog until idle connections could be closed, some of them past their time."""
-    at, found, after = server(), list[Heard](), list[Heard]()
+    """Otherwise requests wait in the backlog until idle connections can be closed."""
+    backend, outcomes, after = server(), list[Outcome](), list[Outcome]()
 
     async def act(scene: Scene) -> None:
         await warm_up(scene)
         with ExitStack() as stack:
             await hold(scene, stack, count, words)
-            found.extend(await ask_all(scene, 20))
+            outcomes.extend(await ask_all(scene, 20))
         after.append(await ask_once(scene))
 
-    play(told(known=known(at), sockets=160), act, at)
-    assert all_in_time(found, 20)
-    assert any(one.what == SERVED for one in found)
-    assert after[0].what == SERVED and after[0].after_s < 0.5
+    play(told(known=known(backend), sockets=160), act, backend)
+    assert all_in_time(outcomes, 20)
+    assert any(one.kind == SERVED for one in outcomes)
+    assert after[0].kind == SERVED and after[0].elapsed_s < 0.5
 
 
-@pytest.mark.parametrize("words", [b"", said()[:40]], ids=["asks once", "half a command"])
-def test_requests_in_a_flood_that_goes_on_while_descriptors_are_full_end_in_time(words: bytes) -> None:
-    at, found = server(), list[Heard]()
+@pytest.mark.parametrize("words", [b"", said()[:40]], ids=["one request", "partial command"])
+def test_requests_end_in_time_while_new_connections_exhaust_the_descriptors(words: bytes) -> None:
+    backend, outcomes = server(), list[Outcome]()
 
     async def flood(scene: Scene, stack: ExitStack, full: anyio.Event) -> None:
         for _ in range(12):
@@ -139,26 +140,26 @@
                 group.start_soon(flood, scene, stack, full)
                 await full.wait()
                 for _ in range(4):
-                    found.extend(await ask_all(scene, 5))
+                    outcomes.extend(await ask_all(scene, 5))
 
-    play(told(known=known(at), sockets=160), act, at)
-    assert all_in_time(found, 20) and any(one.what == SERVED for one in found)
+    play(told(known=known(backend), sockets=160), act, backend)
+    assert all_in_time(outcomes, 20) and any(one.kind == SERVED for one in outcomes)
 
 
 @contextmanager
 def before_service(deployment: Any) -> Iterator[tuple[EdgeNode, Callable[..., None]]]:
-    """A node whose machine accepts connections, and which serves only once told to: `then` is played."""
+    """Yield a node that listens and does not serve yet, and a function that serves while `act` runs."""
     node = EdgeNode(deployment, Log("n", 1000.0, io.StringIO()))
     node.bind()
 
-    def serve(then: Callable[[Scene], Awaitable[None]], *standins: Any) -> None:
+    def serve(act: Callable[[Scene], Awaitable[None]], *standins: Any) -> None:
         async def scene() -> None:
             async with anyio.create_task_group() as group:
                 for standin in standins:
                     group.start_soon(standin.run)
                 await group.start(node.serve)
                 with anyio.fail_after(15):
-                    await then(Scene(node))
+                    await act(Scene(node))
                 group.cancel_scope.cancel()
 
         anyio.run(scene, backend_options={"loop_factory": ObservedLoop})
@@ -166,68 +167,70 @@
     yield node, serve
 
 
-def test_a_request_whose_client_left_while_it_waited_in_the_backlog_is_not_sent() -> None:
-    """Its end stood right behind it, and an attempt went out 0.25 s after the client had gone."""
-    at = server()
+def test_a_request_whose_client_disconnected_in_the_backlog_is_not_sent() -> None:
+    """The client's end is read together with the request."""
+    backend = server()
 
     async def act(scene: Scene) -> None:
-        assert (await ask_once(scene)).what == SERVED  # its connection to the app server is used again
-        await until(lambda: at.accepted == 1)
+        assert (
+            await ask_once(scene)
+        ).kind == SERVED  # opens the connection to the app server that is reused below
+        await until(lambda: backend.accepted == 1)
         await anyio.sleep(0.02)
-        for _ in range(3):  # with no wait between: the node shares this loop, and accepts them afterwards
+        for _ in range(3):  # no await here: the node accepts these afterwards, in this event loop
             with socket.create_connection(scene.node.address) as sock:
                 sock.sendall(said())
-        time.sleep(2 * FRESH_READ_S)  # longer changes nothing: the loop stands still
-        assert (await ask_once(scene)).what == SERVED
+        time.sleep(2 * FRESH_READ_S)  # the event loop is blocked; a longer time has the same effect
+        assert (await ask_once(scene)).kind == SERVED
 
-    play(told(known=known(at), bounds=Bounds(rest_s=0.001)), act, at)
-    assert len(at.heard) == 2
+    play(told(known=known(backend), bounds=Bounds(rest_s=0.001)), act, backend)
+    assert len(backend.heard) == 2
 
 
-def test_a_request_whose_time_passed_in_the_backlog_is_rejected() -> None:
-    """It counted from when the node read it, and was served when nobody waited for it any more."""
-    at, heard = server(), list[bytes]()
+def test_a_request_whose_deadline_passed_in_the_backlog_is_rejected() -> None:
+    """Its deadline counts from its arrival, and not from when the node reads it."""
+    backend, answers = server(), list[bytes]()
     with (
-        before_service(told(known=known(at))) as (node, serve),
+        before_service(told(known=known(backend))) as (node, serve),
         socket.create_connection(node.address) as late,
     ):
         late.sendall(said(terms=TERMS.replace(b"d=1000", b"d=50")))
-        time.sleep(0.06)  # longer changes nothing
+        time.sleep(0.06)  # a longer time has the same effect
 
         async def then(scene: Scene) -> None:
             late.setblocking(False)
-            heard.append(await scene.hear(late, until=1))
+            answers.append(await scene.hear(late, until=1))
 
-        serve(then, at)
-    assert heard[0].startswith(b"-BUSY") and not at.heard
+        serve(then, backend)
+    assert answers[0].startswith(b"-BUSY") and not backend.heard
 
 
-@pytest.mark.parametrize("then", [b"", said()[:9]], ids=["whole", "more is read meanwhile"])
-def test_a_request_whose_time_passed_behind_another_is_rejected(then: bytes) -> None:
-    """What is read while answers are awaited is as old as it was then, not as what was read last."""
-    at, heard = server(), list[bytes]()
+@pytest.mark.parametrize("then", [b"", said()[:9]], ids=["complete", "more input meanwhile"])
+def test_a_request_whose_deadline_passed_behind_another_is_rejected(then: bytes) -> None:
+    """Input that was read ahead keeps its own arrival time when more is read."""
+    backend, answers = server(), list[bytes]()
     behind = said(terms=TERMS.replace(b"d=1000", b"d=50"))
 
     async def act(scene: Scene) -> None:
-        at.gate = anyio.Event()
+        backend.gate = anyio.Event()
         sock = await scene.connect()
         with sock:
             sock.sendall(said() + behind)
-            await until(lambda: bool(at.heard))
-            await anyio.sleep(0.06)  # longer changes nothing
+            await until(lambda: bool(backend.heard))
+            await anyio.sleep(0.06)  # a longer time has the same effect
             sock.sendall(then)
             if then:
                 await anyio.sleep(0.01)
-            at.gate.set()
-            heard.append(await scene.hear(sock, until=2))
+            backend.gate.set()
+            answers.append(await scene.hear(sock, until=2))
 
-    play(told(known=known(at), bounds=Bounds(pipelined=1)), act, at)
-    assert heard[0].startswith(HI + b"-BUSY") and len(at.heard) == 1
+    play(told(known=known(backend), bounds=Bounds(pipelined=1)), act, backend)
+    assert answers[0].startswith(HI + b"-BUSY") and len(backend.heard) == 1
 
 
-def test_a_request_on_a_resting_connection_has_all_its_time() -> None:
-    """Guards against a bound on its age so careful that requests are rejected for it."""
-    at, found = server(), list[bytes]()
+def test_a_request_on_an_idle_connection_has_its_full_time() -> None:
+    """The lower bound on its arrival must not be so early that requests are rejected for it."""
+    backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
@@ -235,14 +238,14 @@
             for _ in range(3):
                 await anyio.sleep(0.15)
                 sock.sendall(said(terms=TERMS.replace(b"d=1000", b"d=100")))
-                found.append(await scene.hear(sock, until=1))
+                answers.append(await scene.hear(sock, until=1))
 
-    play(told(known=known(at)), act, at)
-    assert found == [HI] * 3
+    play(told(known=known(backend)), act, backend)
+    assert answers == [HI] * 3
 
 
-def test_many_closed_connections_are_told_of_in_one_line() -> None:
-    at = server()
+def test_many_closed_connections_are_logged_in_one_line() -> None:
+    backend = server()
 
     async def act(scene: Scene) -> None:
         with ExitStack() as stack:
@@ -250,26 +253,26 @@
             for sock in held:
                 assert await scene.hear(sock) == b""
 
-    log = play(told(known=known(at), bounds=Bounds(client_patience_s=0.05)), act, at)
+    log = play(told(known=known(backend), bounds=Bounds(client_patience_s=0.05)), act, backend)
     lines = [line for line in log.splitlines() if CloseReason.NO_REQUEST in line]
     assert 1 <= len(lines) < 5 and "client 127.0.0.1 " in lines[0]
     assert sum(int(line.split(" with ")[0].split()[-1]) for line in lines) == 30
 
 
-# What these stand on, without sockets.
+# Parts without sockets.
 
 
-def test_the_last_descriptors_are_for_connections_that_do_not_stay() -> None:
+def test_the_last_descriptors_are_reserved_for_short_connections() -> None:
     limits = AdmissionLimits.of(416, 0.125)
-    treated = [limits.admit(held) for held in range(417)]
-    assert treated[0] is Admission.PERSISTENT and treated[416] is Admission.WAIT
-    assert [treated.count(one) for one in Admission] == [364, 39, 13, 1]
+    admissions = [limits.admit(held) for held in range(417)]
+    assert admissions[0] is Admission.PERSISTENT and admissions[416] is Admission.WAIT
+    assert [admissions.count(one) for one in Admission] == [364, 39, 13, 1]
 
 
-@pytest.mark.parametrize("most", range(8, 40))
-def test_few_descriptors_still_have_each_kind(most: int) -> None:
-    limits = AdmissionLimits.of(most, 0.125)
-    assert 1 <= limits.persistent < limits.close_after_answers < limits.reject == most
+@pytest.mark.parametrize("descriptors", range(8, 40))
+def test_each_admission_exists_with_few_descriptors(descriptors: int) -> None:
+    limits = AdmissionLimits.of(descriptors, 0.125)
+    assert 1 <= limits.persistent < limits.close_after_answers < limits.reject == descriptors
 
 
 @dataclass
@@ -280,7 +283,7 @@
     idle: bool = True
 
 
-def test_what_gives_way_first_is_closing_then_silent_then_idle_for_longest() -> None:
+def test_closing_then_silent_then_longest_idle_connections_are_evicted_first() -> None:
     closing, silent = Row(True, True, 9.9), Row(False, False, 9.0)
     older, old = Row(False, True, 1.0), Row(False, True, 2.0)
     rows = [Row(False, True, 9.0), old, Row(False, True, 0.0, idle=False), older, silent, closing]
@@ -288,14 +291,14 @@
     assert list(eviction.candidates(rows, 10.0)) == [closing, silent, older, old]
 
 
-def test_where_it_is_urgent_silent_ones_give_way_early_and_those_that_asked_do_not() -> None:
+def test_urgent_eviction_ignores_the_minimum_only_for_silent_connections() -> None:
     rows = [Row(False, False, 9.9), Row(False, True, 9.0)]
     eviction: Eviction[Row] = Eviction(min_idle_s=2.0, min_silent_s=0.25)
     assert not list(eviction.candidates(rows, 10.0))
     assert list(eviction.candidates(rows, 10.0, urgent=True)) == rows[:1]
 
 
-def test_bytes_are_no_younger_than_the_connection_seen_empty_before_them() -> None:
+def test_bytes_arrived_no_earlier_than_the_last_empty_buffer_before_them() -> None:
     arrivals = Arrivals(1.0)
     arrivals.add(10)
     arrivals.mark_empty(2.0)
@@ -308,7 +311,7 @@
     ]
 
 
-def test_a_request_is_as_old_as_its_last_byte() -> None:
+def test_the_arrival_of_a_request_is_that_of_its_last_byte() -> None:
     arrivals = Arrivals(1.0)
     arrivals.add(10)
     arrivals.mark_empty(2.0)
@@ -316,52 +319,52 @@
     assert arrivals.consume(11) == 2.0
 
 
-def test_many_small_reads_are_joined_and_never_made_younger() -> None:
+def test_many_small_reads_are_merged_with_the_earlier_arrival() -> None:
     arrivals, exact = Arrivals(0.0), list[float]()
-    for at in range(3 * MAX_SEGMENTS):
-        arrivals.mark_empty(float(at))
+    for position in range(3 * MAX_SEGMENTS):
+        arrivals.mark_empty(float(position))
         arrivals.add(1)
-        exact.append(float(at))
+        exact.append(float(position))
     assert len(arrivals._segments) == MAX_SEGMENTS
     assert all(arrivals.consume(1) <= one for one in exact)
 
 
-def test_a_poll_tells_since_when_a_socket_can_have_been_readable() -> None:
+def test_a_poll_bounds_since_when_a_socket_is_readable() -> None:
     times = ReadyTimes()
     ours, theirs = socket.socketpair()
     with ours, theirs, ObservedSelector(times) as selector:
         theirs.send(b"1")
         selector.register(ours, 1)
-        assert selector.select(0) and times.since(ours.fileno()) == UNKNOWN  # it may be as old as can be
+        assert selector.select(0) and times.since(ours.fileno()) == UNKNOWN  # there was no earlier poll
         ours.recv(9)
         before = time.monotonic()
         assert not selector.select(0)
         between = time.monotonic()
         theirs.send(b"1")
         assert selector.select(0) and before <= times.since(ours.fileno()) <= between
-        assert selector.select(0) and times.since(ours.fileno()) >= between  # seen by the poll before
+        assert selector.select(0) and times.since(ours.fileno()) >= between  # readable since the poll before
 
 
-def test_where_the_loop_is_not_observed_what_is_read_counts_as_just_come() -> None:
+def test_without_an_observed_loop_input_counts_as_just_arrived() -> None:
     before = time.monotonic()
     assert ReadyTimes(observed=False).since(0) >= before
 
 
-def test_closures_are_told_of_once_with_their_reasons_and_most_frequent_address() -> None:
-    heard, closures = io.StringIO(), Closures()
-    log = Log("n", 1000.0, heard)
+def test_closures_are_logged_once_with_reasons_and_the_most_frequent_address() -> None:
+    stream, closures = io.StringIO(), Closures()
+    log = Log("n", 1000.0, stream)
     for address in ("10.0.0.1", "10.0.0.2", "10.0.0.2"):
         closures.add(CloseReason.NO_REQUEST, address)
     closures.log_summary(log)
     closures.log_summary(log)
-    assert heard.getvalue().count("\n") == 1
+    assert stream.getvalue().count("\n") == 1
     assert (
         f"3 with {CloseReason.NO_REQUEST}; from 2 addresses, most from client 10.0.0.2 (2)"
-        in heard.getvalue()
+        in stream.getvalue()
     )
 
 
-def test_a_configuration_that_leaves_no_descriptors_is_refused_by_its_key() -> None:
+def test_a_configuration_without_enough_descriptors_is_refused_by_its_key() -> None:
     given = {
         "name": "n0",
         "listen": "127.0.0.1:1",
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""A node among stand-ins: what becomes of requests, connections, and the node itself."""
+"""One node among stand-ins for its neighbours: requests, connections, discovery, counter, and shutdown."""
 
 import io
 import json
@@ -48,165 +48,168 @@
 ROOT = Path(__file__).parent.parent
 
 
-def heard_of(answer: bytes | None, *asked: bytes) -> bytes:
-    """What a client hears when its app server says `answer`."""
-    at, heard = server(answer), list[bytes]()
+def received_by_client(answer: bytes | None, *chunks: bytes) -> bytes:
+    """Return what a client receives when its app server answers `answer`; None breaks the connection."""
+    backend, answers = server(answer), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        heard.append(await scene.ask(*(asked or (said(),))))
+        answers.append(await scene.ask(*(chunks or (said(),))))
 
-    play(told(known=known(at)), act, at)
-    return heard[0]
+    play(told(known=known(backend)), act, backend)
+    return answers[0]
 
 
-def test_delivered_is_the_value_and_nothing_else() -> None:
-    assert heard_of(OK) == b"$2\r\nhi\r\n"
+def test_a_delivered_answer_is_the_value_and_nothing_else() -> None:
+    assert received_by_client(OK) == b"$2\r\nhi\r\n"
 
 
-def test_in_pieces_and_byte_by_byte() -> None:
+def test_a_command_may_arrive_in_pieces_or_byte_by_byte() -> None:
     raw = said()
-    assert heard_of(OK, raw[:7], raw[7:60], raw[60:]) == b"$2\r\nhi\r\n"
-    assert heard_of(OK, *(raw[at : at + 1] for at in range(len(raw)))) == b"$2\r\nhi\r\n"
+    assert received_by_client(OK, raw[:7], raw[7:60], raw[60:]) == b"$2\r\nhi\r\n"
+    assert (
+        received_by_client(OK, *(raw[position : position + 1] for position in range(len(raw))))
+        == b"$2\r\nhi\r\n"
+    )
 
 
-def test_a_value_of_64_kib_goes_through() -> None:
+def test_a_value_of_64_kib_is_delivered() -> None:
     value = bulk(b"v" * 65536)
-    assert heard_of(b"*3\r\n" + value + NOTHING) == value
+    assert received_by_client(b"*3\r\n" + value + NOTHING) == value
 
 
-def test_what_may_have_run_is_no_bounce_unless_harmless() -> None:
-    """Guards against a rejection, which promises that trying again is harmless, for what may have run."""
-    paid = said(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0")
-    assert heard_of(None, paid).startswith(b"-ERR")
-    assert heard_of(b"-ERR failed\r\n", paid).startswith(b"-ERR")
-    assert heard_of(b"+nonsense\r\n", paid).startswith(b"-ERR")
-    assert heard_of(b"-BUSY\r\n", paid).startswith(b"-BUSY")
+def test_a_request_that_may_have_run_is_not_bounced_unless_harmless() -> None:
+    """A bounce promises that a retry is safe, which does not hold after an attempt that may have run."""
+    payment = said(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0")
+    assert received_by_client(None, payment).startswith(b"-ERR")
+    assert received_by_client(b"-ERR failed\r\n", payment).startswith(b"-ERR")
+    assert received_by_client(b"+nonsense\r\n", payment).startswith(b"-ERR")
+    assert received_by_client(b"-BUSY\r\n", payment).startswith(b"-BUSY")
 
 
-def test_an_answer_broken_off_at_any_point_is_never_passed_on() -> None:
-    """Guards against a value that no app server gave whole; what may have run is no rejection."""
-    paid, heard = said(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0"), list[bytes]()
+def test_a_truncated_answer_is_never_delivered() -> None:
+    """Wherever the connection is reset, the request is given up, since it may have run."""
+    payment, answers = said(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0"), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        heard.append(await scene.ask(paid))
+        answers.append(await scene.ask(payment))
 
     for stop in (1, 5, 9, 11, len(OK) - 1):
-        at = server(OK[:stop])
-        at.breaks_off = True
-        play(told(known=known(at)), act, at)
-    assert heard == [b"-ERR given up\r\n"] * 5
+        backend = server(OK[:stop])
+        backend.breaks_off = True
+        play(told(known=known(backend)), act, backend)
+    assert answers == [b"-ERR given up\r\n"] * 5
 
 
-def test_an_answer_that_stops_short_ends_early_and_another_execution_may_follow() -> None:
-    """Guards against places taken until the hard limit by answers that will never be whole."""
+def test_an_attempt_whose_answer_stalls_ends_early_and_is_retried() -> None:
+    """Otherwise an incomplete answer would occupy a connection until the hard limit."""
     answers = iter([OK[:9], OK])
-    at = Standin(lambda heard: next(answers) if whole(heard) else b"")
+    backend = Standin(lambda received: next(answers) if whole(received) else b"")
 
     async def act(scene: Scene) -> None:
         began = anyio.current_time()
         assert await scene.ask(said()) == b"$2\r\nhi\r\n"
         assert anyio.current_time() - began < 0.8
 
-    assert "stopped short" in play(told(known=known(at), bounds=Bounds(stall_s=0.1)), act, at)
+    assert "stopped short" in play(told(known=known(backend), bounds=Bounds(stall_s=0.1)), act, backend)
 
 
-def test_commands_behind_one_another_are_answered_in_order() -> None:
-    """Guards against answers that overtake: the first is slow, and things beside requests come at once."""
-    at, heard = server(), list[bytes]()
+def test_pipelined_commands_are_answered_in_order() -> None:
+    """Replies to control commands and errors wait for the answers to earlier requests."""
+    backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        heard.append(
+        answers.append(
             await scene.ask(said() + array(b"PING") + said() + array(b"nap") + said(terms=b"c=nap"), until=5)
         )
 
-    play(told(known=known(at)), act, at)
-    lines = heard[0].split(b"\r\n")
+    play(told(known=known(backend)), act, backend)
+    lines = answers[0].split(b"\r\n")
     assert [line[:4] for line in lines] == [b"$2", b"hi", b"+PON", b"$2", b"hi", b"-ERR", b"-ERR", b""]
 
 
-def test_lost_framing_is_answered_after_what_came_before_and_closed() -> None:
-    assert heard_of(OK, said() + b"rubbish\r\n" + said()).startswith(b"$2\r\nhi\r\n")
-    at, heard = server(), list[bytes]()
+def test_a_framing_error_is_answered_after_earlier_commands_and_the_connection_closed() -> None:
+    assert received_by_client(OK, said() + b"rubbish\r\n" + said()).startswith(b"$2\r\nhi\r\n")
+    backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        heard.append(await scene.ask(said() + b"rubbish\r\n" + said(), until=0))
-        heard.append(await scene.ask(b"*5\r\n$5\r\nQ.ASK\r\n$70000\r\n", until=0))
-        heard.append(await scene.ask(array(b"PING")))
+        answers.append(await scene.ask(said() + b"rubbish\r\n" + said(), until=0))
+        answers.append(await scene.ask(b"*5\r\n$5\r\nQ.ASK\r\n$70000\r\n", until=0))
+        answers.append(await scene.ask(array(b"PING")))
 
-    log = play(told(known=known(at)), act, at)
-    assert heard[0].startswith(b"$2\r\nhi\r\n-ERR Protocol error") and heard[0].count(b"\r\n") == 3
-    assert heard[1].startswith(b"-ERR Protocol") and heard[2] == b"+PONG\r\n"
+    log = play(told(known=known(backend)), act, backend)
+    assert answers[0].startswith(b"$2\r\nhi\r\n-ERR Protocol error") and answers[0].count(b"\r\n") == 3
+    assert answers[1].startswith(b"-ERR Protocol") and answers[2] == b"+PONG\r\n"
     assert log.count("n: client 127.0.0.1:") == log.count("; its connection is closed") == 2
-    assert b"".join(at.heard).count(b"Q.ASK") == 1
+    assert b"".join(backend.heard).count(b"Q.ASK") == 1
 
 
-def test_the_id_of_an_open_submission_is_refused_and_the_open_one_answered() -> None:
-    """Guards against another's answer: whoever uses an id that is open gets neither it nor in its way."""
-    at, heard = Standin(lambda heard: OK if heard.count(b"Q.ASK") > 1 else b""), list[bytes]()
+def test_a_duplicate_of_an_open_id_is_refused_and_the_open_request_unaffected() -> None:
+    """A client that reuses an open id must not receive the answer to the open request."""
+    backend, answers = Standin(lambda received: OK if received.count(b"Q.ASK") > 1 else b""), list[bytes]()
 
     async def act(scene: Scene) -> None:
         first = await scene.connect()
         first.sendall(said(number=b"7"))
         await anyio.sleep(0.05)
-        heard.append(await scene.ask(said(number=b"7", customer=b"00000000b4d65522")))
-        assert len(at.heard) == 1
+        answers.append(await scene.ask(said(number=b"7", customer=b"00000000b4d65522")))
+        assert len(backend.heard) == 1
         first.close()
         await anyio.sleep(0.05)
         again = await scene.connect()
         again.sendall(said(number=b"7"))
         await anyio.sleep(0.05)
-        assert len(at.heard) == 2  # it may be used once more when it is no longer open
+        assert len(backend.heard) == 2  # the id may be used again when it is no longer open
 
-    play(told(known=known(at)), act, at)
-    assert heard[0].startswith(b"-ERR the id")
+    play(told(known=known(backend)), act, backend)
+    assert answers[0].startswith(b"-ERR the id")
 
 
-def test_silent_dripping_and_half_said_connections_are_closed_in_time() -> None:
-    """Guards against connections held for good by clients that never bring a request."""
-    bounds, at = Bounds(client_patience_s=0.3, client_rest_s=0.1), server()
+def test_silent_slow_and_incomplete_connections_are_closed_in_time() -> None:
+    """Clients that never send a complete request must not hold their connections."""
+    bounds, backend = Bounds(client_patience_s=0.3, client_rest_s=0.1), server()
 
     async def act(scene: Scene) -> None:
-        silent, half, dripping, pinging = [await scene.connect() for _ in range(4)]
+        silent, incomplete, slow, pinging = [await scene.connect() for _ in range(4)]
         usual = await scene.connect()
-        half.sendall(said()[:40])
+        incomplete.sendall(said()[:40])
         for count in range(20):
             with suppress(OSError):
-                dripping.sendall(b"*4\r\n$5\r\nQ.ASK\r\n$16\r\n"[count : count + 1])
+                slow.sendall(b"*4\r\n$5\r\nQ.ASK\r\n$16\r\n"[count : count + 1])
                 pinging.sendall(array(b"PING"))
             if count % 4 == 0:
                 usual.sendall(said())
             await anyio.sleep(0.06)
         assert await scene.hear(usual, until=5) == b"$2\r\nhi\r\n" * 5
-        for sock in (silent, half, dripping, pinging):
+        for sock in (silent, incomplete, slow, pinging):
             with anyio.fail_after(0.1):
                 await scene.hear(sock)
 
-    log = play(told(known=known(at), bounds=bounds), act, at)
-    told_of = [line.split(" with no complete command in time") for line in log.splitlines()]
-    closed = [int(line[0].split()[-1]) for line in told_of if len(line) == 2]
+    log = play(told(known=known(backend), bounds=bounds), act, backend)
+    lines = [line.split(" with no complete command in time") for line in log.splitlines()]
+    closed = [int(line[0].split()[-1]) for line in lines if len(line) == 2]
     assert sum(closed) == 4 and "client 127.0.0.1 " in log
 
 
-def test_one_that_repeats_what_is_turned_away_is_slowed_and_closed() -> None:
-    """Guards against the CPU that it would take: the first error comes at once, and the connection ends."""
-    heard = list[bytes]()
+def test_a_client_that_repeats_invalid_commands_is_slowed_and_closed() -> None:
+    """This limits the CPU time that it takes: the first error is immediate, later ones are delayed."""
+    answers = list[bytes]()
 
     async def act(scene: Scene) -> None:
         for nonsense, errors in ((array(b"NAP"), 8), (b"*0\r\n", 0)):
             assert (await scene.ask(nonsense * 300, until=0)).count(b"-ERR") == errors
         began = anyio.current_time()
-        heard.append(await scene.ask(said(terms=b"c=nap") * 300))
+        answers.append(await scene.ask(said(terms=b"c=nap") * 300))
         assert anyio.current_time() - began < 0.5
-        heard.append(await scene.ask(said(terms=b"c=nap") * 300, until=0))
+        answers.append(await scene.ask(said(terms=b"c=nap") * 300, until=0))
         assert anyio.current_time() - began > 0.12
 
     log = play(told(bounds=Bounds(faults=8, fault_pause_s=0.02)), act)
     assert log.count("8 invalid commands in a row") == 3
-    assert heard[0].startswith(b"-ERR") and heard[1].count(b"-ERR") == 8
+    assert answers[0].startswith(b"-ERR") and answers[1].count(b"-ERR") == 8
 
 
-def test_what_is_sent_behind_a_fault_is_not_read() -> None:
-    """Guards against the CPU and memory that 60 MB behind a head that can't be would take."""
+def test_input_after_a_framing_error_is_not_read() -> None:
+    """60 MB after an invalid bulk length must not cost CPU time or memory."""
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
@@ -223,9 +226,9 @@
     play(told(), act)
 
 
-def test_what_an_app_server_can_not_use_is_the_clients_fault() -> None:
-    """Guards against servers that are left out for what a bad client sent: it is not sent again either."""
-    at, ends = server(b"-ERR bad request\r\n"), list[object]()
+def test_a_request_refused_by_an_app_server_is_not_retried_nor_counted_against_the_server() -> None:
+    """A client that sends bad requests must not make servers look unhealthy."""
+    backend, ends = server(b"-ERR bad request\r\n"), list[object]()
     real = Submission.ended
 
     def ended(self: Submission, now: float, number: int, outcome: Outcome, *rest: Any) -> None:
@@ -236,268 +239,277 @@
         assert (await scene.ask(said())).startswith(b"-ERR refused")
 
     with patch.object(Submission, "ended", ended):
-        play(told(known=known(at)), act, at)
-    assert ends == [("withdrawn", True)] and len(at.heard) == 1
+        play(told(known=known(backend)), act, backend)
+    assert ends == [("withdrawn", True)] and len(backend.heard) == 1
 
 
-def test_a_client_that_goes_away_calls_its_execution_off() -> None:
-    at = Standin(lambda heard: b"")
+def test_an_attempt_is_cancelled_when_its_client_disconnects() -> None:
+    backend = Standin(lambda received: b"")
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
         sock.sendall(said())
         await anyio.sleep(0.1)
-        before = at.ends
+        before = backend.ends
         sock.close()
         await anyio.sleep(0.1)
-        assert (len(at.heard), before, at.ends) == (1, 0, 1)
+        assert (len(backend.heard), before, backend.ends) == (1, 0, 1)
 
-    play(told(known=known(at)), act, at)
+    play(told(known=known(backend)), act, backend)
 
 
-def test_silence_is_given_up_at_the_hard_limit_and_the_connection_closed() -> None:
-    at, heard = Standin(lambda heard: b""), list[bytes]()
+def test_a_silent_app_server_is_given_up_at_the_hard_limit_and_its_connection_closed() -> None:
+    backend, answers = Standin(lambda received: b""), list[bytes]()
 
     async def act(scene: Scene) -> None:
         began = anyio.current_time()
-        heard.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=300,units=1,spread=1,first=0")))
+        answers.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=300,units=1,spread=1,first=0")))
         assert 0.2 < anyio.current_time() - began < 0.36
         await anyio.sleep(0.05)
-        assert at.ends == 1
+        assert backend.ends == 1
 
-    play(told(known=known(at)), act, at)
-    assert heard[0].startswith(b"-ERR")
+    play(told(known=known(backend)), act, backend)
+    assert answers[0].startswith(b"-ERR")
 
 
-def test_connections_are_used_again_and_retired_before_the_server_would() -> None:
-    """Guards against a late write on a connection that its server closes: it would count as may have run."""
-    at = server()
+def test_connections_are_reused_and_retired_before_the_server_closes_them() -> None:
+    """A write that crosses the server's close leaves open whether the request has run."""
+    backend = server()
 
     async def act(scene: Scene) -> None:
         for _ in range(5):
             assert await scene.ask(said()) == b"$2\r\nhi\r\n"
             await anyio.sleep(0.02)
-        before = at.ends
+        before = backend.ends
         await anyio.sleep(2.3)
-        assert (before, at.ends, len(at.heard)) == (0, 1, 5)
+        assert (before, backend.ends, len(backend.heard)) == (0, 1, 5)
 
-    play(told(known=known(at), idle_close=2.0), act, at)
+    play(told(known=known(backend), idle_close=2.0), act, backend)
 
 
-def test_a_connection_closed_by_its_server_is_seen_and_nothing_is_written_to_it() -> None:
+def test_nothing_is_written_to_a_connection_closed_by_its_server() -> None:
     answers = iter([OK, None, OK])
-    at = Standin(lambda heard: next(answers) if whole(heard) else b"")
+    backend = Standin(lambda received: next(answers) if whole(received) else b"")
 
     async def act(scene: Scene) -> None:
         assert await scene.ask(said()) == b"$2\r\nhi\r\n"
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"  # harmless: broken once, and sent again
+        assert await scene.ask(said()) == b"$2\r\nhi\r\n"  # harmless: retried after the broken connection
 
-    play(told(known=known(at)), act, at)
-    assert len(at.heard) == 3
+    play(told(known=known(backend)), act, backend)
+    assert len(backend.heard) == 3
 
 
-def test_a_connection_that_has_just_answered_is_not_used_at_once() -> None:
-    """Guards against what its server still sends: it would be taken for the next one's answer."""
-    at = server()
+def test_a_connection_is_not_reused_immediately_after_an_answer() -> None:
+    """Surplus bytes from its server would be taken for the answer to the next request."""
+    backend = server()
 
     async def act(scene: Scene) -> None:
         assert await scene.ask(said()) == b"$2\r\nhi\r\n"
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n" and at.accepted == 2
+        assert await scene.ask(said()) == b"$2\r\nhi\r\n" and backend.accepted == 2
         await anyio.sleep(0.25)
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n" and at.accepted == 2
+        assert await scene.ask(said()) == b"$2\r\nhi\r\n" and backend.accepted == 2
 
-    play(told(known=known(at), bounds=Bounds(rest_s=0.2)), act, at)
+    play(told(known=known(backend), bounds=Bounds(rest_s=0.2)), act, backend)
 
 
-def test_no_server_at_the_address_is_surely_not_run() -> None:
+def test_a_refused_connection_counts_as_not_run() -> None:
     gone = server()
     gone.sock.close()
-    heard = list[bytes]()
+    answers = list[bytes]()
 
     async def act(scene: Scene) -> None:
-        heard.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=400,units=1,spread=1,first=0")))
+        answers.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=400,units=1,spread=1,first=0")))
 
     play(told(known=known(gone)), act)
-    assert heard[0].startswith(b"-BUSY")
+    assert answers[0].startswith(b"-BUSY")
 
 
-def test_discovery_is_followed_and_a_draining_server_gets_nothing_new() -> None:
-    """First the whole list, then a watch; a malformed answer has the whole list asked for anew."""
+def test_discovery_is_followed_and_removed_servers_get_no_new_requests() -> None:
+    """The node fetches the whole list, then watches; after a malformed answer it fetches the list again."""
     old, new = server(), server()
     lists = iter([b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", listing(new)])
-    asked = list[bytes]()
+    requests = list[bytes]()
 
-    def say(heard: bytes) -> bytes:
-        if not heard.endswith(b"\r\n\r\n"):
+    def respond(received: bytes) -> bytes:
+        if not received.endswith(b"\r\n\r\n"):
             return b""
-        asked.append(heard.split(b" ")[1])
+        requests.append(received.split(b" ")[1])
         return next(lists, b"")
 
-    discovery = Standin(say)
+    discovery = Standin(respond)
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(0.4)
         assert await scene.ask(said()) == b"$2\r\nhi\r\n"
 
     log = play(told(known=known(old, old), discovery=discovery.address), act, discovery, new)
-    assert asked[:2] == [b"/v1/servers"] * 2 and asked[2].startswith(b"/v1/servers?since=1&timeout_ms=")
+    assert requests[:2] == [b"/v1/servers"] * 2 and requests[2].startswith(b"/v1/servers?since=1&timeout_ms=")
     assert not old.heard and len(new.heard) == 1 and "discovery" in log
 
 
-def test_discovery_gone_silent_is_asked_again_from_the_version_held() -> None:
-    at, asked = server(), list[bytes]()
+def test_silent_discovery_is_polled_from_the_version_held() -> None:
+    backend, requests = server(), list[bytes]()
 
-    def say(heard: bytes) -> bytes:
-        asked.append(heard.split(b" ")[1])
-        return listing(at, index=7) if len(asked) == 1 else b""
+    def respond(received: bytes) -> bytes:
+        requests.append(received.split(b" ")[1])
+        return listing(backend, index=7) if len(requests) == 1 else b""
 
-    discovery = Standin(say)
+    discovery = Standin(respond)
     bounds = Bounds(watch_s=0.1, answer_s=0.1)
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(0.6)
         assert await scene.ask(said()) == b"$2\r\nhi\r\n"
 
-    play(told(discovery=discovery.address, bounds=bounds, known_index=3), act, discovery, at)
-    assert b"since=3" in asked[0]  # a start asks for changes since the list it is told
-    # Behind a silent watch comes no further one before an answer, which could be silent as well.
-    assert asked[1] == b"/v1/servers?since=7&timeout_ms=100"
-    assert len(asked) >= 3 and set(asked[2:]) == {b"/v1/servers?since=7&timeout_ms=1"}
+    play(told(discovery=discovery.address, bounds=bounds, known_index=3), act, discovery, backend)
+    assert b"since=3" in requests[0]  # a node starts from the version of the list in its configuration
+    # After a silent watch the node polls with short waits until there is an answer.
+    assert requests[1] == b"/v1/servers?since=7&timeout_ms=100"
+    assert len(requests) >= 3 and set(requests[2:]) == {b"/v1/servers?since=7&timeout_ms=1"}
 
 
-def test_a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told() -> None:
-    """It was given up at 11.7 s where what it missed counted as told at 6 s: its wait counts, too."""
-    at, times = server(), list[float]()
+def test_a_silent_watch_is_replaced_before_missed_changes_count_as_known() -> None:
+    """The time that the watch may wait counts towards the limit."""
+    backend, times = server(), list[float]()
 
-    def say(heard: bytes) -> bytes:
+    def respond(received: bytes) -> bytes:
         times.append(anyio.current_time())
-        return listing(at, index=7) if len(times) == 1 else b""
+        return listing(backend, index=7) if len(times) == 1 else b""
 
-    discovery = Standin(say)
+    discovery = Standin(respond)
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(1.7)
 
     with patch("merlintally.net.discovery.TOLD_S", 2.0):
-        play(told(discovery=discovery.address, bounds=Bounds(watch_s=0.4, answer_s=3.0)), act, discovery, at)
+        play(
+            told(discovery=discovery.address, bounds=Bounds(watch_s=0.4, answer_s=3.0)),
+            act,
+            discovery,
+            backend,
+        )
     assert len(times) == 3 and times[2] - times[1] < 1.6
 
 
-def refusing(bounds: Bounds) -> tuple[list[bytes], list[float]]:
-    """What an overloaded discovery is asked in a second and a half, after one good answer, and the gaps."""
-    at, asked, times = server(), list[bytes](), list[float]()
+def poll_overloaded_discovery(bounds: Bounds) -> tuple[list[bytes], list[float]]:
+    """Return the requests, and the gaps between them in seconds, that overloaded discovery gets in 1.5 s."""
+    backend, requests, times = server(), list[bytes](), list[float]()
 
-    def say(heard: bytes) -> bytes:
-        asked.append(heard.split(b" ")[1])
+    def respond(received: bytes) -> bytes:
+        requests.append(received.split(b" ")[1])
         times.append(anyio.current_time())
-        return listing(at, index=7) if len(asked) == 1 else b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+        return (
+            listing(backend, index=7)
+            if len(requests) == 1
+            else b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+        )
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(1.5)
         assert await scene.ask(said()) == b"$2\r\nhi\r\n"
 
-    discovery = Standin(say)
-    play(told(discovery=discovery.address, bounds=bounds), act, discovery, at)
-    return asked, [later - one for one, later in zip(times, times[1:], strict=False)]
+    discovery = Standin(respond)
+    play(told(discovery=discovery.address, bounds=bounds), act, discovery, backend)
+    return requests, [later - one for one, later in zip(times, times[1:], strict=False)]
 
 
-def test_discovery_that_is_overloaded_is_asked_ever_less_for_changes_only_and_never_too_late() -> None:
-    """Guards against hundreds of nodes whose asking leaves no answer to any, and drains told unheard."""
-    asked, gaps = refusing(Bounds(spared_s=0.05))
-    assert 3 <= len(asked) < 12 and all(b"since=7" in one for one in asked[1:]) and gaps[-1] > gaps[1]
+def test_overloaded_discovery_is_polled_with_backoff_but_within_the_limit_for_known_changes() -> None:
+    """The polls ask for changes only, and come before unseen changes count as known."""
+    requests, gaps = poll_overloaded_discovery(Bounds(spared_s=0.05))
+    assert 3 <= len(requests) < 12 and all(b"since=7" in one for one in requests[1:]) and gaps[-1] > gaps[1]
     with patch("merlintally.net.discovery.TOLD_S", 0.5):
-        asked, gaps = refusing(Bounds(spared_s=60.0, asked_before_s=0.1, watch_s=0.1))
-    assert len(asked) >= 3 and max(gaps) < 0.6
+        requests, gaps = poll_overloaded_discovery(Bounds(spared_s=60.0, asked_before_s=0.1, watch_s=0.1))
+    assert len(requests) >= 3 and max(gaps) < 0.6
 
 
-def test_discovery_that_was_overloaded_is_asked_again_at_once_after_each_answer() -> None:
-    """Guards against a drain that counts as told since the node could have asked after its last answer."""
-    at, times = server(), list[float]()
+def test_polling_is_immediate_again_after_an_overloaded_discovery_answers() -> None:
+    """A node that keeps backing off could miss a drain that counts as known."""
+    backend, times = server(), list[float]()
 
-    def say(heard: bytes) -> bytes:
+    def respond(received: bytes) -> bytes:
         times.append(anyio.current_time())
         if len(times) <= 2:
             return b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-        return listing(at, index=7) if len(times) < 6 else b""
+        return listing(backend, index=7) if len(times) < 6 else b""
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(2.0)
 
-    discovery = Standin(say)
-    play(told(discovery=discovery.address, bounds=Bounds(spared_s=0.3)), act, discovery, at)
+    discovery = Standin(respond)
+    play(told(discovery=discovery.address, bounds=Bounds(spared_s=0.3)), act, discovery, backend)
     gaps = [later - one for one, later in zip(times, times[1:], strict=False)]
     assert len(gaps) >= 5 and max(gaps[2:5]) < 0.14 < gaps[0]
 
 
-def counting(say: object, *asked: bytes) -> list[bytes]:
-    """What clients hear, one after another, with a counter that speaks so and two gateways."""
-    at, counter = server(), Standin(say)  # type: ignore[arg-type]
-    deployment = told(known=known(at), counter=counter.address)
+def answers_with_counter(respond: object, *requests: bytes) -> list[bytes]:
+    """Return the answers to requests made one after another, with a counter that answers by `respond`."""
+    backend, counter = server(), Standin(respond)  # type: ignore[arg-type]
+    deployment = told(known=known(backend), counter=counter.address)
     facts = replace(deployment.facts, may_count=True, gateways=2, count_time_out=0.08)
-    heard = list[bytes]()
+    answers = list[bytes]()
 
     async def act(scene: Scene) -> None:
-        for one in asked:
-            heard.append(await scene.ask(one))
+        for one in requests:
+            answers.append(await scene.ask(one))
 
-    play(replace(deployment, facts=facts), act, at, counter)
+    play(replace(deployment, facts=facts), act, backend, counter)
     assert counter.heard and counter.heard[0].startswith(b"tally ")
-    return heard
+    return answers
 
 
 ASKED_TERMS = b"c=look,t=plan,d=1500,units=2,spread=2,first=0"
 ASKED = said(terms=ASKED_TERMS)
 
 
-def test_the_counter_decides_and_its_silence_is_bounded() -> None:
-    """Full, broken, silent or malformed, a request is decided all the same; a total told is believed."""
+def test_the_total_of_the_counter_decides_and_waiting_for_it_is_bounded() -> None:
+    """A request is also decided if the counter is full, broken, silent or malformed."""
 
-    def total(of: bytes) -> bytes:
-        return b"ok %b\r\n" % of
+    def total(units: bytes) -> bytes:
+        return b"ok %b\r\n" % units
 
-    assert counting(lambda heard: total(b"2"), ASKED) == [b"$2\r\nhi\r\n"]
-    assert counting(lambda heard: total(b"9000"), ASKED)[0].startswith(b"-BUSY")
-    for say in (b"busy\r\n", b"error\r\n", b"", b"what\r\n", None):
-        assert counting(lambda heard, say=say: say, ASKED) == [b"$2\r\nhi\r\n"]
+    assert answers_with_counter(lambda received: total(b"2"), ASKED) == [b"$2\r\nhi\r\n"]
+    assert answers_with_counter(lambda received: total(b"9000"), ASKED)[0].startswith(b"-BUSY")
+    for reply in (b"busy\r\n", b"error\r\n", b"", b"what\r\n", None):
+        assert answers_with_counter(lambda received, reply=reply: reply, ASKED) == [b"$2\r\nhi\r\n"]
 
 
-def test_another_counter_and_discovery_are_taken_up_while_serving() -> None:
-    """Guards against a call forgotten at the old counter, one made twice, and an old list gone by."""
-    at, new_at = server(), server()
-    old, new = Standin(lambda heard: b""), Standin(lambda heard: b"ok 2\r\n")
-    discovery = Standin(lambda heard: listing(new_at, index=1) if b"since" not in heard else b"")
-    deployment = told(known=known(at), counter=old.address)
+def test_a_reload_switches_counter_and_discovery_while_serving() -> None:
+    """No call to the old counter is repeated at the new one, and the new list replaces the old one."""
+    backend, new_at = server(), server()
+    old, new = Standin(lambda received: b""), Standin(lambda received: b"ok 2\r\n")
+    discovery = Standin(lambda received: listing(new_at, index=1) if b"since" not in received else b"")
+    deployment = told(known=known(backend), counter=old.address)
     facts = replace(deployment.facts, may_count=True, gateways=2, count_time_out=0.15)
-    deployment, heard = replace(deployment, facts=facts), list[bytes]()
+    deployment, answers = replace(deployment, facts=facts), list[bytes]()
 
     async def act(scene: Scene) -> None:
         early = await scene.connect()
         early.sendall(ASKED)
         await anyio.sleep(0.05)
         scene.node.reload(replace(deployment, counter=new.address, discovery=discovery.address))
-        heard.append(await scene.ask(said(terms=ASKED_TERMS, customer=b"00000000b4d65522")))
-        heard.append(await scene.hear(early, until=1))
+        answers.append(await scene.ask(said(terms=ASKED_TERMS, customer=b"00000000b4d65522")))
+        answers.append(await scene.hear(early, until=1))
         await anyio.sleep(0.2)
-        heard.append(await scene.ask(said(terms=ASKED_TERMS, customer=b"00000000b4d65523")))
+        answers.append(await scene.ask(said(terms=ASKED_TERMS, customer=b"00000000b4d65523")))
 
-    play(deployment, act, at, new_at, old, new, discovery)
-    assert heard == [b"$2\r\nhi\r\n"] * 3 and len(old.heard) == 1 and len(new.heard) >= 2
+    play(deployment, act, backend, new_at, old, new, discovery)
+    assert answers == [b"$2\r\nhi\r\n"] * 3 and len(old.heard) == 1 and len(new.heard) >= 2
     assert not any(call in b"".join(new.heard) for call in old.heard) and new_at.heard
 
 
 @pytest.mark.parametrize("text", [None, '{"name"', '{"discovery": 7}'])
-def test_a_bad_new_file_leaves_the_old_in_force(text: str | None, tmp_path: Path) -> None:
-    path, said_so, node = tmp_path / "config.json", io.StringIO(), EdgeNode(told())
-    node.log = Log("n", 9.0, said_so)
+def test_an_invalid_new_configuration_leaves_the_old_one_in_force(text: str | None, tmp_path: Path) -> None:
+    path, log_text, node = tmp_path / "config.json", io.StringIO(), EdgeNode(told())
+    node.log = Log("n", 9.0, log_text)
     if text is not None:
         path.write_text(text)
     with patch.dict(os.environ, {"LB_CONFIG": str(path)}), patch.object(node, "reload") as reload:
         reread(node)
-    assert not reload.called and said_so.getvalue().endswith("stays in force\n")
+    assert not reload.called and log_text.getvalue().endswith("stays in force\n")
 
 
-def test_a_hangup_has_the_file_read_again_and_ends_nothing(tmp_path: Path) -> None:
-    """The program itself, told by signals: it goes on after SIGHUP, and ends after SIGTERM."""
+def test_sighup_reloads_the_configuration_and_sigterm_ends_the_program(tmp_path: Path) -> None:
+    """Runs the program: it continues after SIGHUP with an invalid file, and exits with 0 after SIGTERM."""
     path = tmp_path / "config.json"
     given = json.loads((ROOT / "example/config.json").read_text())
     with socket.create_server(("127.0.0.1", 0)) as free:
@@ -512,19 +524,19 @@
     ) as program:
         assert program.stderr is not None
         try:
-            program.stderr.readline()  # what it has to say of discovery, which is not there: it runs
+            program.stderr.readline()  # the log line on unreachable discovery: the program is running
             path.write_text("no JSON")
             program.send_signal(signal.SIGHUP)
-            heard = program.stderr.readline()
+            answers = program.stderr.readline()
             program.send_signal(signal.SIGTERM)
-            assert "stays in force" in heard and program.wait(10) == 0
+            assert "stays in force" in answers and program.wait(10) == 0
         finally:
             program.kill()
 
 
-def test_idle_connections_give_way_when_descriptors_run_out() -> None:
-    """Guards against a node that stops, or spins, with its last descriptor."""
-    at = server()
+def test_idle_connections_are_evicted_when_descriptors_run_out() -> None:
+    """The node must neither stop accepting nor spin when it has used its last descriptor."""
+    backend = server()
 
     async def act(scene: Scene) -> None:
         idle = [await scene.connect() for _ in range(60)]
@@ -532,34 +544,34 @@
         for sock in idle:
             sock.close()
 
-    play(told(known=known(at), sockets=64), act, at)
+    play(told(known=known(backend), sockets=64), act, backend)
 
 
-def test_a_full_queue_holds_back_and_loses_nothing() -> None:
-    at, heard = server(), list[bytes]()
+def test_a_full_queue_delays_requests_and_loses_none() -> None:
+    backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        heard.append(await scene.ask(*(said() for _ in range(60)), until=60))
+        answers.append(await scene.ask(*(said() for _ in range(60)), until=60))
 
-    play(told(known=known(at), memory=1000, bounds=Bounds(queue=1, pipelined=3)), act, at)
-    assert heard[0] == b"$2\r\nhi\r\n" * 60
+    play(told(known=known(backend), memory=1000, bounds=Bounds(queue=1, pipelined=3)), act, backend)
+    assert answers[0] == b"$2\r\nhi\r\n" * 60
 
 
-def test_more_than_may_be_open_are_bounced() -> None:
-    at, heard = Standin(lambda heard: b""), list[bytes]()
+def test_requests_above_the_limit_of_open_ones_are_bounced() -> None:
+    backend, answers = Standin(lambda received: b""), list[bytes]()
 
     async def act(scene: Scene) -> None:
         first = await scene.connect()
         first.sendall(said())
         await anyio.sleep(0.05)
-        heard.append(await scene.ask(said()))
+        answers.append(await scene.ask(said()))
 
-    play(told(known=known(at), most_open=1), act, at)
-    assert heard[0] == b"-BUSY\r\n"
+    play(told(known=known(backend), most_open=1), act, backend)
+    assert answers[0] == b"-BUSY\r\n"
 
 
-def test_told_to_stop_it_takes_for_a_while_answers_all_and_ends() -> None:
-    at, heard = Standin(lambda heard: b""), list[bytes]()
+def test_a_leaving_node_accepts_for_a_while_answers_everything_and_ends() -> None:
+    backend, answers = Standin(lambda received: b""), list[bytes]()
     bounds = Bounds(leave_s=0.3, finish_s=0.6)
 
     async def act(scene: Scene) -> None:
@@ -570,43 +582,43 @@
         late = await scene.connect()
         late.sendall(said())
         assert await scene.hear(idle) == b""
-        heard.extend([await scene.hear(early), await scene.hear(late)])
+        answers.extend([await scene.hear(early), await scene.hear(late)])
         await scene.node.phases.reached(Phase.ENDED)
 
-    play(told(known=known(at), bounds=bounds), act, at)
-    assert len(at.heard) == 2 and heard[0].startswith(b"-ERR") and heard[1].startswith(b"-BUSY")
+    play(told(known=known(backend), bounds=bounds), act, backend)
+    assert len(backend.heard) == 2 and answers[0].startswith(b"-ERR") and answers[1].startswith(b"-BUSY")
 
 
 @contextmanager
-def not_coming_up(standin: Standin) -> Iterator[None]:
-    """Connections to it hang: the line of the listener is full, and nobody accepts."""
+def full_backlog(standin: Standin) -> Iterator[None]:
+    """Connections to the stand-in hang: its listener's backlog is full."""
     standin.sock.listen(0)
-    with ExitStack() as filling:
+    with ExitStack() as stack:
         for _ in range(3):
-            sock = filling.enter_context(socket.socket())
+            sock = stack.enter_context(socket.socket())
             sock.setblocking(False)
             sock.connect_ex(standin.address)
         yield
 
 
-def test_a_machine_that_vanished_is_surely_not_run() -> None:
-    gone, heard = server(), list[bytes]()
+def test_a_connection_that_times_out_counts_as_not_run() -> None:
+    gone, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        heard.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=900,units=1,spread=1,first=0")))
+        answers.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=900,units=1,spread=1,first=0")))
 
-    with not_coming_up(gone):
+    with full_backlog(gone):
         play(told(known=known(gone), connect_time_out=0.1), act)
-    assert heard[0].startswith(b"-BUSY")
+    assert answers[0].startswith(b"-BUSY")
 
 
-def test_a_drain_ends_what_has_still_to_connect() -> None:
-    """Guards against a send past the grace: a connection that comes up late writes nothing any more."""
+def test_a_drain_ends_connections_that_are_still_being_opened() -> None:
+    """A connection that opens late must not send a request after the drain's grace period."""
     old = server()
-    discovery = Standin(lambda heard: listing(old, status="DRAINING") if b"since" not in heard else b"")
+    discovery = Standin(lambda received: listing(old, status="DRAINING") if b"since" not in received else b"")
 
     async def act(scene: Scene) -> None:
-        with not_coming_up(old):
+        with full_backlog(old):
             asking = await scene.connect()
             asking.sendall(said(terms=b"c=look,t=plan,d=2000,units=1,spread=1,first=0"))
             await anyio.sleep(0.1)
@@ -614,7 +626,7 @@
                 group.start_soon(discovery.run)
                 await anyio.sleep(0.2)
                 group.start_soon(old.run)
-                await anyio.sleep(1.3)  # the system tries to connect once more after a second
+                await anyio.sleep(1.3)  # TCP retries the connect after one second
                 group.cancel_scope.cancel()
             asking.close()
 
@@ -622,25 +634,25 @@
     assert not old.heard
 
 
-def test_a_client_that_reads_nothing_holds_up_nobody_else() -> None:
-    """Guards against answers piling up for one that does not read them: nothing more is read of it."""
+def test_a_client_that_does_not_read_does_not_delay_others() -> None:
+    """The node stops reading from a client that does not read its answers."""
     value = bulk(b"v" * 65000)
-    at = server(b"*3\r\n" + value + NOTHING)
+    backend = server(b"*3\r\n" + value + NOTHING)
 
     async def act(scene: Scene) -> None:
-        deaf = await scene.connect()
-        deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        slow_reader = await scene.connect()
+        slow_reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with suppress(BlockingIOError):
-            deaf.sendall(b"".join(said() for _ in range(4000)))
+            slow_reader.sendall(b"".join(said() for _ in range(4000)))
         await anyio.sleep(0.3)
         assert await scene.ask(said()) == value
-        deaf.close()
+        slow_reader.close()
 
-    play(told(known=known(at)), act, at)
+    play(told(known=known(backend)), act, backend)
 
 
-def test_answers_that_are_not_read_count_as_held() -> None:
-    """Guards against memory without a bound: beyond what may be held no client is read."""
+def test_unread_answers_count_as_held_memory() -> None:
+    """When the limit of held memory is reached, no client is read."""
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     clients: Any = SimpleNamespace(
@@ -657,8 +669,8 @@
     assert clients.held.held == 0
 
 
-def test_a_datagram_of_a_stranger_or_beyond_256_bytes_is_dropped() -> None:
-    noted = list[tuple[int, bytes]]()
+def test_a_datagram_from_an_unknown_sender_or_above_256_bytes_is_dropped() -> None:
+    received_notes = list[tuple[int, bytes]]()
     ours = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     ours.bind(("127.0.0.1", 0))
@@ -670,8 +682,10 @@
             sock.sendto(payload, where)
         await anyio.sleep(0.1)
 
-    with patch.object(Gateway, "noted", lambda self, now, peer, payload: noted.append((peer, payload))):
+    with patch.object(
+        Gateway, "noted", lambda self, now, peer, payload: received_notes.append((peer, payload))
+    ):
         log = play(told(peer_listen=("127.0.0.1", 0), peers=(("127.0.0.1", 9), ours.getsockname())), act)
     ours.close()
     stranger.close()
-    assert noted == [(1, b"a" * 256), (1, b"d")] and log.count("is dropped") == 2
+    assert received_notes == [(1, b"a" * 256), (1, b"d")] and log.count("is dropped") == 2
