--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small states for the tests, and stand-ins for what a node talks to."""
+"""Test fixtures: gateways and deployments with few settings, and stand-ins for a node's neighbours."""
 
 from __future__ import annotations
 
@@ -32,11 +32,12 @@
 
 
 def lane(**changes: Any) -> LaneFacts:
+    """Return a lane of harmless requests, with `changes`."""
     return replace(LaneFacts("lane", 1.0, 4.0, 1.0, 0.0, "harmless", "all", 3.0), **changes)
 
 
 def gateway(lanes: tuple[LaneFacts, ...] = (), plan: PlanFacts = PLAN, **changes: Any) -> Gateway:
-    """A gateway that has run for 100 seconds and knows one server, `s1`."""
+    """Return a gateway that has run for 100 seconds and has one server, `s1`; `changes` are to its facts."""
     facts = StartFacts(
         number=0,
         gateways=2,
@@ -63,14 +64,14 @@
         tip_multiple=2.0,
         tip_window=2.0,
     )
-    made = Gateway(replace(facts, **changes), 1, 0.0)
-    made.roster(100.0, [SERVER], complete=True)
-    made.customers["c"] = customer(plan)
-    return made
+    created = Gateway(replace(facts, **changes), 1, 0.0)
+    created.roster(100.0, [SERVER], complete=True)
+    created.customers["c"] = customer(plan)
+    return created
 
 
 def take(
-    at: Gateway,
+    target: Gateway,
     number: int = 1,
     now: float = 100.0,
     key: str = "c",
@@ -79,19 +80,20 @@
     plan: str = "plan",
     lane_name: str = "lane",
 ) -> Submission:
-    return at.take(now, number, lane_name, key, plan, time_left, units, 2)
+    """Take a submission at a gateway."""
+    return target.take(now, number, lane_name, key, plan, time_left, units, 2)
 
 
 def customer(plan: PlanFacts = PLAN, gateways: int = 2, uptime: float = 100.0) -> Customer:
-    """A customer of whom the counter has just told that its store is full."""
-    made = Customer("c", plan, gateways, 100.0, uptime)
-    made.heard = 100.0
-    return made
+    """Return a customer whose store the counter has just reported as full."""
+    created = Customer("c", plan, gateways, 100.0, uptime)
+    created.heard = 100.0
+    return created
 
 
 def told(**changes: Any) -> Deployment:
-    """What a node is told: one lane of each effect, ports of the system's choosing, nothing known."""
-    given: dict[str, Any] = {
+    """Return a deployment with one lane of each effect, a port chosen by the system, and no app servers."""
+    configuration: dict[str, Any] = {
         "name": "n0",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:1",
@@ -113,8 +115,8 @@
             "familyInfo": {"largest": 6},
         },
     }
-    found = deployment_of(given, {})
-    return replace(found, listen=("127.0.0.1", 0), **changes)
+    deployment = deployment_of(configuration, {})
+    return replace(deployment, listen=("127.0.0.1", 0), **changes)
 
 
 def said(
@@ -124,22 +126,24 @@
     customer: bytes = b"00000000b4d65521",
     number: bytes = b"",
 ) -> bytes:
-    """A request as a client writes it, each with an id of its own."""
+    """Encode a request as a client does, by default with an id of its own."""
     words = [name, customer, number or b"%016x" % next(IDS), terms]
     return array(*words, *([body] if name == b"Q.DO" else []))
 
 
-def taken(raw: bytes, client: Any = None, arrived: float = 100.0) -> Request:
-    """A request from its words, as a connection takes it; Malformed says what is wrong with them."""
-    found = array_at(bytearray(raw), 0, len(raw))
-    assert found is not None
-    return Request(client, raw, [span for span in found[0] if span is not None], told().facts, arrived)
+def taken(raw: bytes, client: Any = None, arrived_at: float = 100.0) -> Request:
+    """Parse an encoded request, as a client connection does; raises Malformed."""
+    command = array_at(bytearray(raw), 0, len(raw))
+    assert command is not None
+    return Request(client, raw, [span for span in command[0] if span is not None], told().facts, arrived_at)
 
 
 class Standin:
-    """Stands in for an outside system on loopback: `say` gets what came on a connection since it last spoke,
-    and gives what to write; None ends the connection, and empty bytes wait for more. What it says is held
-    until `gate` is set, where there is one. One that breaks off resets the connection after the first words.
+    """A stand-in for an outside system, on loopback.
+
+    `say` maps what was received on a connection since the last reply to the next reply: empty bytes wait for
+    more input, and None closes the connection. Replies are delayed until `gate` is set, if there is one. With
+    `breaks_off`, each connection is reset after its first reply.
     """
 
     def __init__(self, say: Callable[[bytes], bytes | None]) -> None:
@@ -156,27 +160,27 @@
                 await anyio.wait_readable(self.sock)
                 sock, _ = self.sock.accept()
                 self.accepted += 1
-                group.start_soon(self._speak, sock)
+                group.start_soon(self._serve, sock)
 
-    async def _speak(self, sock: socket.socket) -> None:
+    async def _serve(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         with sock, suppress(OSError):
-            waiting = b""
+            unanswered = b""
             while True:
                 await anyio.wait_readable(sock)
-                got = sock.recv(1 << 16)
-                if not got:
+                data = sock.recv(1 << 16)
+                if not data:
                     break
-                self.heard.append(got)
-                waiting += got
-                words = self.say(waiting)
-                if words is None:
+                self.heard.append(data)
+                unanswered += data
+                reply = self.say(unanswered)
+                if reply is None:
                     break
-                if words:
+                if reply:
                     if self.gate is not None:
                         await self.gate.wait()
-                    sock.sendall(words)
-                    waiting = b""
+                    sock.sendall(reply)
+                    unanswered = b""
                     if self.breaks_off:
                         await anyio.sleep(0.02)
                         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -185,77 +189,84 @@
 
 
 def server(answer: bytes | None = OK) -> Standin:
-    """An app server that gives one answer to all; None: it breaks the connection instead."""
-    return Standin(lambda heard: answer if whole(heard) else b"")
+    """Return an app server that gives the same answer to all requests; None closes the connection instead."""
+    return Standin(lambda received: answer if whole(received) else b"")
 
 
-def whole(heard: bytes) -> bool:
-    """Whether a command, and no more, was heard."""
-    return array_at(bytearray(heard), 0, len(heard)) is not None
+def whole(received: bytes) -> bool:
+    """Return whether a complete command was received."""
+    return array_at(bytearray(received), 0, len(received)) is not None
 
 
 def silent() -> Standin:
-    """One that hears all and says nothing."""
-    return Standin(lambda heard: b"")
+    """Return a stand-in that receives and never replies."""
+    return Standin(lambda received: b"")
 
 
-async def until(true: Callable[[], bool]) -> None:
-    """Wait for what another task brings about; ten times as long as it usually takes, at the most."""
+async def until(condition: Callable[[], bool]) -> None:
+    """Wait until another task has made a condition true; raises TimeoutError after 5 s."""
     with anyio.fail_after(5.0):
-        while not true():
+        while not condition():
             await anyio.sleep(0.002)
 
 
 def listing(*servers: Standin, status: str = "SERVING", index: int = 1) -> bytes:
-    """Discovery's whole list, of app servers s0, s1 and so on."""
+    """Return discovery's answer with the whole list, of app servers named s0, s1 and so on."""
     rows = [
-        {"name": f"s{at}", "address": "{}:{}".format(*one.address), "status": status}
-        for at, one in enumerate(servers)
+        {"name": f"s{number}", "address": "{}:{}".format(*one.address), "status": status}
+        for number, one in enumerate(servers)
     ]
     body = json.dumps({"index": index, "snapshot": True, "endpoints": rows}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 def known(*servers: Standin) -> tuple[Listed, ...]:
+    """Return stand-ins as the app servers that a node starts with."""
     return tuple(page(json.loads(listing(*servers).split(b"\r\n\r\n")[1]))[2])
 
 
-def answers_in(heard: bytes) -> int:
-    """How many whole answers, lines or bulk strings, were heard."""
-    count = at = 0
-    while (stop := heard.find(b"\r\n", at)) >= 0:
-        at = stop + 2 + (int(heard[at + 1 : stop]) + 2 if heard[at : at + 1] == b"$" else 0)
-        count += at <= len(heard)
+def answers_in(received: bytes) -> int:
+    """Count the complete answers, lines or bulk strings, in what was received."""
+    count = position = 0
+    while (stop := received.find(b"\r\n", position)) >= 0:
+        position = (
+            stop
+            + 2
+            + (int(received[position + 1 : stop]) + 2 if received[position : position + 1] == b"$" else 0)
+        )
+        count += position <= len(received)
     return count
 
 
 class Scene:
-    """A node in service among stand-ins, and clients that talk to it."""
+    """A serving node, and clients for it."""
 
     def __init__(self, node: EdgeNode) -> None:
         self.node = node
 
     async def connect(self) -> socket.socket:
+        """Open a connection to the node."""
         sock = socket.create_connection(self.node.address)
         sock.setblocking(False)
         return sock
 
     async def hear(self, sock: socket.socket, until: int = 0) -> bytes:
-        """What the node writes: `until` answers, or all to its end."""
-        heard = b""
+        """Receive `until` answers, or, if 0, everything up to the connection's end; at most for 3 s."""
+        received = b""
         with anyio.move_on_after(3.0):
-            while not until or answers_in(heard) < until:
+            while not until or answers_in(received) < until:
                 await anyio.wait_readable(sock)
                 try:
-                    got = sock.recv(1 << 16)
+                    data = sock.recv(1 << 16)
                 except ConnectionError:
-                    return heard
-                if not got:
-                    return heard
-                heard += got
-        return heard
+                    return received
+                if not data:
+                    return received
+                received += data
+        return received
 
     async def ask(self, *chunks: bytes, until: int = 1) -> bytes:
+        """Send chunks on a new connection, and receive `until` answers."""
         sock = await self.connect()
         with sock:
             for chunk in chunks:
@@ -265,7 +276,7 @@
 
 
 def play(deployment: Deployment, act: Callable[[Scene], Awaitable[None]], *standins: Standin) -> str:
-    """Let a node serve among stand-ins while `act` goes on; gives its log."""
+    """Serve with a node and stand-ins while `act` runs; return the node's log."""
     log = io.StringIO()
 
     async def scene() -> None:
