--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -141,9 +141,9 @@
 class Standin:
     """A stand-in for an outside system, on loopback.
 
-    `say` maps what was received on a connection since the last reply to the next reply: empty bytes wait for
-    more input, and None closes the connection. Replies are delayed until `gate` is set, if there is one. With
-    `breaks_off`, each connection is reset after its first reply.
+    `say` maps what was received on a connection since the last reply to the next reply: empty bytes
+    wait for more input, and None closes the connection. Replies are delayed until `gate` is set, if
+    there is one. With `breaks_off`, each connection is reset after its first reply.
     """
 
     def __init__(self, say: Callable[[bytes], bytes | None]) -> None:
