--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -103,7 +103,7 @@
 def test_an_attempt_whose_answer_stalls_ends_early_and_is_retried() -> None:
     """Otherwise an incomplete answer would occupy a connection until the hard limit."""
     answers = iter([OK[:9], OK])
-    backend = Standin(lambda received: next(answers) if whole(received) else b"")
+    backend = Standin(lambda data: next(answers) if whole(data) else b"")
 
     async def act(scene: Scene) -> None:
         began = anyio.current_time()
@@ -145,7 +145,7 @@
 
 def test_a_duplicate_of_an_open_id_is_refused_and_the_open_request_unaffected() -> None:
     """A client that reuses an open id must not receive the answer to the open request."""
-    backend, answers = Standin(lambda received: OK if received.count(b"Q.ASK") > 1 else b""), list[bytes]()
+    backend, answers = Standin(lambda data: OK if data.count(b"Q.ASK") > 1 else b""), list[bytes]()
 
     async def act(scene: Scene) -> None:
         first = await scene.connect()
@@ -244,7 +244,7 @@
 
 
 def test_an_attempt_is_cancelled_when_its_client_disconnects() -> None:
-    backend = Standin(lambda received: b"")
+    backend = Standin(lambda data: b"")
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
@@ -259,7 +259,7 @@
 
 
 def test_a_silent_app_server_is_given_up_at_the_hard_limit_and_its_connection_closed() -> None:
-    backend, answers = Standin(lambda received: b""), list[bytes]()
+    backend, answers = Standin(lambda data: b""), list[bytes]()
 
     async def act(scene: Scene) -> None:
         began = anyio.current_time()
@@ -289,7 +289,7 @@
 
 def test_nothing_is_written_to_a_connection_closed_by_its_server() -> None:
     answers = iter([OK, None, OK])
-    backend = Standin(lambda received: next(answers) if whole(received) else b"")
+    backend = Standin(lambda data: next(answers) if whole(data) else b"")
 
     async def act(scene: Scene) -> None:
         assert await scene.ask(said()) == b"$2\r\nhi\r\n"
@@ -330,10 +330,10 @@
     lists = iter([b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", listing(new)])
     requests = list[bytes]()
 
-    def respond(received: bytes) -> bytes:
-        if not received.endswith(b"\r\n\r\n"):
+    def respond(data: bytes) -> bytes:
+        if not data.endswith(b"\r\n\r\n"):
             return b""
-        requests.append(received.split(b" ")[1])
+        requests.append(data.split(b" ")[1])
         return next(lists, b"")
 
     discovery = Standin(respond)
@@ -350,8 +350,8 @@
 def test_silent_discovery_is_polled_from_the_version_held() -> None:
     backend, requests = server(), list[bytes]()
 
-    def respond(received: bytes) -> bytes:
-        requests.append(received.split(b" ")[1])
+    def respond(data: bytes) -> bytes:
+        requests.append(data.split(b" ")[1])
         return listing(backend, index=7) if len(requests) == 1 else b""
 
     discovery = Standin(respond)
@@ -372,7 +372,7 @@
     """The time that the watch may wait counts towards the limit."""
     backend, times = server(), list[float]()
 
-    def respond(received: bytes) -> bytes:
+    def respond(data: bytes) -> bytes:
         times.append(anyio.current_time())
         return listing(backend, index=7) if len(times) == 1 else b""
 
@@ -395,8 +395,8 @@
     """Return the requests, and the gaps between them in seconds, that overloaded discovery gets in 1.5 s."""
     backend, requests, times = server(), list[bytes](), list[float]()
 
-    def respond(received: bytes) -> bytes:
-        requests.append(received.split(b" ")[1])
+    def respond(data: bytes) -> bytes:
+        requests.append(data.split(b" ")[1])
         times.append(anyio.current_time())
         return (
             listing(backend, index=7)
@@ -426,7 +426,7 @@
     """A node that keeps backing off could miss a drain that counts as known."""
     backend, times = server(), list[float]()
 
-    def respond(received: bytes) -> bytes:
+    def respond(data: bytes) -> bytes:
         times.append(anyio.current_time())
         if len(times) <= 2:
             return b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
@@ -467,17 +467,17 @@
     def total(units: bytes) -> bytes:
         return b"ok %b\r\n" % units
 
-    assert answers_with_counter(lambda received: total(b"2"), ASKED) == [b"$2\r\nhi\r\n"]
-    assert answers_with_counter(lambda received: total(b"9000"), ASKED)[0].startswith(b"-BUSY")
+    assert answers_with_counter(lambda data: total(b"2"), ASKED) == [b"$2\r\nhi\r\n"]
+    assert answers_with_counter(lambda data: total(b"9000"), ASKED)[0].startswith(b"-BUSY")
     for reply in (b"busy\r\n", b"error\r\n", b"", b"what\r\n", None):
-        assert answers_with_counter(lambda received, reply=reply: reply, ASKED) == [b"$2\r\nhi\r\n"]
+        assert answers_with_counter(lambda data, reply=reply: reply, ASKED) == [b"$2\r\nhi\r\n"]
 
 
 def test_a_reload_switches_counter_and_discovery_while_serving() -> None:
     """No call to the old counter is repeated at the new one, and the new list replaces the old one."""
     backend, new_at = server(), server()
-    old, new = Standin(lambda received: b""), Standin(lambda received: b"ok 2\r\n")
-    discovery = Standin(lambda received: listing(new_at, index=1) if b"since" not in received else b"")
+    old, new = Standin(lambda data: b""), Standin(lambda data: b"ok 2\r\n")
+    discovery = Standin(lambda data: listing(new_at, index=1) if b"since" not in data else b"")
     deployment = told(known=known(backend), counter=old.address)
     facts = replace(deployment.facts, may_count=True, gateways=2, count_time_out=0.15)
     deployment, answers = replace(deployment, facts=facts), list[bytes]()
@@ -558,7 +558,7 @@
 
 
 def test_requests_above_the_limit_of_open_ones_are_bounced() -> None:
-    backend, answers = Standin(lambda received: b""), list[bytes]()
+    backend, answers = Standin(lambda data: b""), list[bytes]()
 
     async def act(scene: Scene) -> None:
         first = await scene.connect()
@@ -571,7 +571,7 @@
 
 
 def test_a_leaving_node_accepts_for_a_while_answers_everything_and_ends() -> None:
-    backend, answers = Standin(lambda received: b""), list[bytes]()
+    backend, answers = Standin(lambda data: b""), list[bytes]()
     bounds = Bounds(leave_s=0.3, finish_s=0.6)
 
     async def act(scene: Scene) -> None:
@@ -615,7 +615,7 @@
 def test_a_drain_ends_connections_that_are_still_being_opened() -> None:
     """A connection that opens late must not send a request after the drain's grace period."""
     old = server()
-    discovery = Standin(lambda received: listing(old, status="DRAINING") if b"since" not in received else b"")
+    discovery = Standin(lambda data: listing(old, status="DRAINING") if b"since" not in data else b"")
 
     async def act(scene: Scene) -> None:
         with full_backlog(old):
