--- a/merlintally/net/post.py
+++ b/merlintally/net/post.py
@@ -64,20 +64,16 @@
 
 
 class Noting(Protocol):
-    """Sends the decisions' notes to the other nodes."""
+    """Sends the decisions' notes to all other nodes, without a guarantee of delivery."""
 
-    def tell(self, payload: bytes) -> None:
-        """Send one note to all other nodes, without a guarantee of delivery."""
-        ...
+    def tell(self, payload: bytes) -> None: ...
 
 
 class Right(Protocol):
-    """What the cluster permits this node to do; checked at each use."""
+    """What the cluster permits this node: to accept new requests, and to send to an app server.
 
-    def may_take(self) -> bool:
-        """Return whether new requests may be accepted."""
-        ...
+    Callers ask at each use.
+    """
 
-    def may_send(self, server: str) -> bool:
-        """Return whether an attempt may be sent to an app server."""
-        ...
+    def may_take(self) -> bool: ...
+    def may_send(self, server: str) -> bool: ...
