--- a/merlintally/net/dispatcher.py
+++ b/merlintally/net/dispatcher.py
@@ -59,7 +59,7 @@
         self.gateway = Gateway(deployment.facts, deployment.seed, clock.now())
         self.subset, self.logged_subset_level = subset_of(deployment), 0
         self.invariants = Invariants(log)
-        self.answered: collections.Counter[str] = collections.Counter()  # answers by reason
+        self.answered: collections.Counter[str] = collections.Counter()  # by reason
         self.roster = Roster(self.subset, self.gateway, self._tell_roster)
         self.start_times = StartTimes(clock.wall)
         self.fleet: Fleet
@@ -67,10 +67,10 @@
         self.counter: Counter | None = None
         self.peers: Noting | None = None
         self.open_requests: dict[int, Request] = {}
-        self.ids = set[bytes]()  # of the open requests
+        self.ids = set[bytes]()
         self.last_number, self.leaving = 0, False
         self.right: Right | None = None  # None: everything is permitted
-        self.servers_taken_out: frozenset[str] = frozenset()  # for maintenance
+        self.servers_in_maintenance: frozenset[str] = frozenset()
         self.shown: dict[str, Listed] | None = None  # latest list of app servers; None: not kept
         # The dispatcher's own calls, made after the current results without passing through the queue.
         self.deferred_calls: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
@@ -231,7 +231,7 @@
     def take_out(self, servers: frozenset[str]) -> None:
         """Drain exactly these app servers for maintenance; others return to their listed state."""
         assert self.shown is not None, "the list of app servers is not kept"
-        changed, self.servers_taken_out = self.servers_taken_out ^ servers, servers
+        changed, self.servers_in_maintenance = self.servers_in_maintenance ^ servers, servers
         if entries := [
             self._with_maintenance(self.shown[name]) for name in sorted(changed) if name in self.shown
         ]:
@@ -260,7 +260,7 @@
 
     def _with_maintenance(self, entry: Listed) -> Listed:
         """Return an entry as draining where its server is taken out, which discovery does not show."""
-        if entry.facts.server not in self.servers_taken_out or entry.facts.presence != "on":
+        if entry.facts.server not in self.servers_in_maintenance or entry.facts.presence != "on":
             return entry
         return Listed(replace(entry.facts, presence="draining"), entry.address)
 
--- a/merlintally/net/invariants.py
+++ b/merlintally/net/invariants.py
@@ -11,7 +11,7 @@
 
 from merlintally.net.log import Log
 
-HELD_UP_S = 0.15  # a process may be suspended between reading its clock and writing
+HELD_UP_S = 0.15  # for which a process may be suspended between reading its clock and writing
 GONE_S = 0.1  # after the end of a client, until which attempts for it may still begin
 LATE_S = 0.5  # after its deadline, until which a late answer is tolerated
 WAIT_SLACK_S = 0.15  # by which the time stated to an app server may exceed the remaining time
--- a/merlintally/net/send_guard.py
+++ b/merlintally/net/send_guard.py
@@ -1,8 +1,8 @@
 """The last check before the bytes of an attempt are written to an app server.
 
 Between the decision to send and the write, an attempt may wait: for its turn among the results, for a
-connection, or for room in the socket's send buffer. The checks
-are repeated here immediately before the write.
+connection, or for room in the socket's send buffer. The checks are repeated here immediately before the
+write.
 """
 
 from __future__ import annotations
