--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -27,12 +27,12 @@
 from merlintally.cluster.record import Record
 from merlintally.cluster.work.coordinator import Terms
 from merlintally.cluster.work.state import GRANTED, OUT, RETURNING, most
+from merlintally.net.call_queue import CallQueue
 from merlintally.net.configuration import Address, address
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.node import EdgeNode
 from merlintally.net.phases import Phase
-from merlintally.net.post import Post
 from merlintally.notes import told, unpack
 from merlintally.operators import ClusterPart
 
@@ -67,7 +67,7 @@
 
 
 class ClusterNode:
-    """Attached to an edge node with `EdgeNode(..., parts=[ClusterNode(...).run])`; it is the node's Right."""
+    """Attached to an edge node with `EdgeNode(..., parts=[ClusterNode(...).run])`; it is its Permissions."""
 
     links_type: type[Links] = Links  # another one counts what goes out, in the laboratory
 
@@ -78,7 +78,7 @@
         self.chance = Random(seed ^ disk.start)
         self.plan = plan_of(part)
         self.routes = {name: address(where, f"cluster.routes.{name}") for name, where in part.routes.items()}
-        self.queue = Post(QUEUE)
+        self.queue = CallQueue(QUEUE)
         self.dispatcher: Dispatcher
         self.links: Links
         self.disk_lock = Lock()
@@ -121,10 +121,10 @@
 
     async def run(self, node: EdgeNode, dispatcher: Dispatcher) -> None:
         """Stand beside a node until cancelled."""
-        self.dispatcher, dispatcher.right = dispatcher, self
+        self.dispatcher, dispatcher.permissions = dispatcher, self
         if self.plan.copies is not None and dispatcher.peers is None:
             dispatcher.peers = self
-        dispatcher.shown = {entry.facts.server: entry for entry in node.deployment.known}
+        dispatcher.listed_servers = {entry.facts.server: entry for entry in node.deployment.known}
         listen = address(self.part.listen, "cluster.listen")
         self.links = self.links_type(
             self.part.name,
@@ -159,7 +159,7 @@
             group.start_soon(self._tell_keeper)
             if self.plan.copies is not None:
                 group.start_soon(self._keep_copies)
-            await self.queue.post(lambda: None)
+            await self.queue.enqueue(lambda: None)
             await self.queue.run(self._do, self._settle)
 
     def _do(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
@@ -170,7 +170,7 @@
             self.log.say(f"cluster: a call failed: {traceback.format_exc()}", "cluster.failed")
 
     async def _hear(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
-        await self.queue.post(self._heard, sender, call, args)
+        await self.queue.enqueue(self._heard, sender, call, args)
 
     def _heard(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
         self.core.hear(time.monotonic(), sender, call, args)
@@ -181,14 +181,14 @@
                 await anyio.sleep(max(0.0, self.wake_at - time.monotonic()))
             if time.monotonic() >= self.wake_at:
                 self.wake_at = time.monotonic() + self.part.heartbeat_s
-                await self.queue.post(self._woken)
+                await self.queue.enqueue(self._woken)
 
     def _woken(self) -> None:
         now = time.monotonic()
         if now - self.sent_since > RATE_S:
             self.rates = {pool: count / (now - self.sent_since) for pool, count in self.sent.items()}
             self.sent, self.sent_since = Counter(), now
-        shown, fleet = self.dispatcher.shown or {}, self.dispatcher.fleet
+        shown, fleet = self.dispatcher.listed_servers or {}, self.dispatcher.fleet
         servers = self.core.edge.machines
         turns = self.core.work.turns
         busy = frozenset(
@@ -209,21 +209,21 @@
 
     async def _leave(self, node: EdgeNode) -> None:
         await node.phases.reached(Phase.LEAVING)
-        await self.queue.post(lambda: self.core.leave(time.monotonic()))
+        await self.queue.enqueue(lambda: self.core.leave(time.monotonic()))
 
     async def _tell_keeper(self) -> None:
         while True:
             await self.to_tell.wait()
             self.to_tell = anyio.Event()
-            await self.dispatcher.post(self.dispatcher.take_out, self.core.edge.out())
+            await self.dispatcher.enqueue(self.dispatcher.set_servers_in_maintenance, self.core.edge.out())
             while self.whole and (note := told(self.sums.values())):
-                await self.dispatcher.post(self.dispatcher.noted, FELLOWS, note)
+                await self.dispatcher.enqueue(self.dispatcher.noted, FELLOWS, note)
             if self.whole:
-                await self.dispatcher.post(self.dispatcher.noted, FELLOWS, b"")
+                await self.dispatcher.enqueue(self.dispatcher.noted, FELLOWS, b"")
 
     # Draws: to the copies, and what others drew to the decisions, as notes.
 
-    def tell(self, payload: bytes) -> None:
+    def publish(self, payload: bytes) -> None:
         """A note of the decisions, which would go to all others: what this node drew."""
         self.notes.append(payload)
 
@@ -283,14 +283,14 @@
                             f"serving: {full}",
                             "cluster.full",
                         )
-                        await self.queue.post(lambda: self.core.step_back(time.monotonic(), False))
+                        await self.queue.enqueue(lambda: self.core.step_back(time.monotonic(), False))
                     await anyio.sleep(AGAIN_S)
             if not self.able:
                 self.able = True
                 self.log.say("cluster: the disk takes rows again", "cluster.room")
-                await self.queue.post(lambda: self.core.step_back(time.monotonic(), True))
+                await self.queue.enqueue(lambda: self.core.step_back(time.monotonic(), True))
             if core is self.core:
-                await self.queue.post(self._synced, core, number)
+                await self.queue.enqueue(self._synced, core, number)
 
     def _put(self, core: Cluster, rows: list[tuple[Any, ...]]) -> None:
         with self.disk_lock:
@@ -400,7 +400,7 @@
         return (host, int(port)) if host and port.isdecimal() else None
 
     async def _told_older(self, start: int) -> None:
-        await self.queue.post(self._older, start)
+        await self.queue.enqueue(self._older, start)
 
     def _older(self, start: int) -> None:
         """Fellows know of a later start: this folder is an older one's, and what it promised since is
@@ -432,7 +432,7 @@
         """A question or request of an operator's; gives whether it was done, and the answer or why not."""
         event, found = anyio.Event(), list[tuple[bool, str]]()
         self.asking[id_] = (event, found)
-        await self.queue.post(lambda: self.core.ask(time.monotonic(), id_, verb, args))
+        await self.queue.enqueue(lambda: self.core.ask(time.monotonic(), id_, verb, args))
         with anyio.move_on_after(CLIENT_S):
             await event.wait()
         self.asking.pop(id_, None)
--- a/merlintally/lab/scale/hollow.py
+++ b/merlintally/lab/scale/hollow.py
@@ -98,16 +98,16 @@
     """What the cluster part asks of the owner of the decisions, where there are no decisions."""
 
     def __init__(self) -> None:
-        self.right: object = None
+        self.permissions: object = None
         self.peers: object = None
-        self.shown: dict[str, Listed] | None = None
+        self.listed_servers: dict[str, Listed] | None = None
         self.fleet, self.open_requests = HollowFleet(), dict[int, object]()
         self.posted = 0
 
-    async def post(self, call: Callable[..., None], *args: Any) -> None:
+    async def enqueue(self, call: Callable[..., None], *args: Any) -> None:
         call(*args)
 
-    def take_out(self, servers: frozenset[str]) -> None:
+    def set_servers_in_maintenance(self, servers: frozenset[str]) -> None:
         self.posted += 1
 
     def noted(self, peer: int, payload: bytes) -> None:
--- a/merlintally/net/post.py
+++ b/merlintally/net/call_queue.py
@@ -1,7 +1,7 @@
 """A queue of calls to a task that owns some state, and the interfaces around the owner of the decisions.
 
 Neighbouring modules depend on the protocols here and not on the dispatcher itself. Another task that owns
-state gets a `Post` of its own.
+state gets a `CallQueue` of its own.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 MakeCall = Callable[[Callable[..., None], tuple[Any, ...]], None]
 
 
-class Post:
+class CallQueue:
     """A bounded queue of calls that one task makes in order."""
 
     def __init__(self, max_calls: int) -> None:
@@ -26,7 +26,7 @@
             tuple[Callable[..., None], tuple[Any, ...]]
         ](max_calls)
 
-    async def post(self, call: Callable[..., None], *args: Any) -> None:
+    async def enqueue(self, call: Callable[..., None], *args: Any) -> None:
         """Append a call; waits while the queue is full, which applies backpressure to the caller."""
         try:
             self._send.send_nowait((call, args))
@@ -49,27 +49,27 @@
 class Owner(Protocol):
     """The owner of the decisions, as other modules use it.
 
-    Any task may call `post`, with one of the other methods as the call; only code that runs in the owner's
+    Any task may call `enqueue`, with one of the other methods as the call; only code that runs in the owner's
     task calls those directly. `Dispatcher` implements and documents them.
     """
 
-    async def post(self, call: Callable[..., None], *args: Any) -> None: ...
+    async def enqueue(self, call: Callable[..., None], *args: Any) -> None: ...
     def take(self, request: Request) -> None: ...
-    def left(self, request: Request) -> None: ...
-    def ended(self, attempt: Attempt, answer: Answer) -> None: ...
+    def client_left(self, request: Request) -> None: ...
+    def attempt_ended(self, attempt: Attempt, answer: Answer) -> None: ...
     def listed(self, entries: list[Listed], complete: bool) -> None: ...
     def counted(self, name: int, outcome: CounterOutcome, total: float, elapsed: float) -> None: ...
     def counted_late(self, name: int, total: float) -> None: ...
     def noted(self, peer: int, payload: bytes) -> None: ...
 
 
-class Noting(Protocol):
+class NotePublisher(Protocol):
     """Sends the decisions' notes to all other nodes, without a guarantee of delivery."""
 
-    def tell(self, payload: bytes) -> None: ...
+    def publish(self, payload: bytes) -> None: ...
 
 
-class Right(Protocol):
+class Permissions(Protocol):
     """What the cluster permits this node: to accept new requests, and to send to an app server.
 
     Callers ask at each use.
--- a/merlintally/net/clients.py
+++ b/merlintally/net/clients.py
@@ -14,6 +14,7 @@
 
 from merlintally.fields import Malformed
 from merlintally.net.admission import Admission, AdmissionLimits, Eviction
+from merlintally.net.call_queue import Owner
 from merlintally.net.client_stream import ClientStream
 from merlintally.net.closures import CLOSED_BY_CLIENT, CloseReason, Closures
 from merlintally.net.configuration import Deployment
@@ -21,7 +22,6 @@
 from merlintally.net.log import Log
 from merlintally.net.phases import Phase, Phases
 from merlintally.net.polling import ready_times
-from merlintally.net.post import Owner
 from merlintally.net.requests import COMMANDS, PendingAnswer, Request
 from merlintally.net.resp import Span, array_at
 from merlintally.net.sockets import RETRY_S, Allowance, Buffer, prepared
@@ -225,7 +225,7 @@
                     return
                 self.pending.append(request)
                 clients.held.take(request.held_bytes)
-                await clients.dispatcher.post(clients.dispatcher.take, request)
+                await clients.dispatcher.enqueue(clients.dispatcher.take, request)
             return
         self.pending.append(PendingAnswer([self._control_reply(name)]))
         self.write_answers()
@@ -397,12 +397,12 @@
         )
         clients.record_close(self, unfinished)
         for request in unfinished:
-            request.gone = True  # set at once: the call below may wait in a long queue
-            request.gone_at = clients.clock.now()
+            request.client_gone = True  # set at once: the call below may wait in a long queue
+            request.client_gone_at = clients.clock.now()
             clients.held.give(request.held_bytes)
         for request in unfinished:
             if request.answer is None:
-                await clients.dispatcher.post(clients.dispatcher.left, request)
+                await clients.dispatcher.enqueue(clients.dispatcher.client_left, request)
 
 
 class Clients:
@@ -556,7 +556,7 @@
         for client in list(self.connections):
             client.retire(CloseReason.LEAVE)
 
-    def read_no_more(self) -> None:
+    def close_all_after_answers(self) -> None:
         """Stop reading from all clients, and close each connection once its answers are written.
 
         Clients send requests that were not read to another node.
@@ -569,7 +569,9 @@
         reason = client.close_reason or CloseReason.FAILED
         self.closed[reason] += 1
         now = self.clock.now()
-        unanswered = [one for one in unfinished if one.answer is None and not one.gone and now < one.deadline]
+        unanswered = [
+            one for one in unfinished if one.answer is None and not one.client_gone and now < one.deadline
+        ]
         first_id = unanswered[0].id if unanswered else b""
         allowed = reason in CLOSED_BY_CLIENT or not unanswered
         self.invariants.check(
--- a/merlintally/net/counter.py
+++ b/merlintally/net/counter.py
@@ -10,9 +10,9 @@
 
 from merlintally.fields import Malformed, number
 from merlintally.interface import CounterOutcome
+from merlintally.net.call_queue import Owner
 from merlintally.net.configuration import Address, Bounds
 from merlintally.net.log import Log
-from merlintally.net.post import Owner
 from merlintally.net.resp import line_end
 from merlintally.net.sockets import Stream, connect, tcp_socket
 from merlintally.net.timers import Clock, Timers
@@ -163,7 +163,7 @@
 
     async def _lose(self, calls: deque[Call]) -> None:
         while calls:
-            await self.dispatcher.post(self._lost, calls.popleft())
+            await self.dispatcher.enqueue(self._lost, calls.popleft())
 
     def _lost(self, call: Call) -> None:
         if not call.over:
@@ -191,7 +191,7 @@
             if not line.pending:
                 raise Malformed("an answer came to no call")
             outcome, total = outcome_of(answer)
-            await self.dispatcher.post(self._answered, line.pending.popleft(), outcome, total)
+            await self.dispatcher.enqueue(self._answered, line.pending.popleft(), outcome, total)
         if not PART.fullmatch(stream.buffer, stream.start, stream.end):
             raise Malformed("an answer begins in an unknown form")
 
--- a/merlintally/net/discovery.py
+++ b/merlintally/net/discovery.py
@@ -10,9 +10,9 @@
 
 from merlintally.fields import Malformed
 from merlintally.net.backoff import Backoff
+from merlintally.net.call_queue import Owner
 from merlintally.net.configuration import Address, Bounds, page
 from merlintally.net.log import Log
-from merlintally.net.post import Owner
 from merlintally.net.sockets import Stream, connect, tcp_socket
 
 MOST_BODY = 8 << 20  # bytes of one answer
@@ -177,4 +177,4 @@
         # Before the wait for the queue: discovery may move meanwhile, and versions there are others.
         self.version, self.broken = index, False
         if entries or complete:
-            await self.dispatcher.post(self.dispatcher.listed, entries, complete)
+            await self.dispatcher.enqueue(self.dispatcher.listed, entries, complete)
--- a/merlintally/net/dispatcher.py
+++ b/merlintally/net/dispatcher.py
@@ -14,11 +14,11 @@
 
 from merlintally.choice import Gateway
 from merlintally.interface import CounterOutcome, Refusal
+from merlintally.net.call_queue import CallQueue, NotePublisher, Permissions
 from merlintally.net.configuration import Deployment, Listed
 from merlintally.net.counter import Counter
-from merlintally.net.invariants import LATE_S, Invariant, Invariants
+from merlintally.net.invariants import LATE_ANSWER_GRACE_S, Invariant, Invariants
 from merlintally.net.log import Log
-from merlintally.net.post import Noting, Post, Right
 from merlintally.net.requests import Answer, Attempt, Request
 from merlintally.net.roster import Roster, subset_of
 from merlintally.net.servers import Fleet
@@ -51,7 +51,7 @@
 class Dispatcher:
     """Calls the decisions for each queued event and carries out their results.
 
-    Other tasks may call `post` only; every other method runs in the dispatcher's own task.
+    Other tasks may call `enqueue` only; every other method runs in the dispatcher's own task.
     """
 
     def __init__(self, deployment: Deployment, clock: Clock, log: Log) -> None:
@@ -59,23 +59,23 @@
         self.gateway = Gateway(deployment.facts, deployment.seed, clock.now())
         self.subset, self.logged_subset_level = subset_of(deployment), 0
         self.invariants = Invariants(log)
-        self.answered: collections.Counter[str] = collections.Counter()  # by reason
-        self.roster = Roster(self.subset, self.gateway, self._tell_roster)
+        self.answer_counts: collections.Counter[str] = collections.Counter()  # by reason
+        self.roster = Roster(self.subset, self.gateway, self._apply_roster)
         self.start_times = StartTimes(clock.wall)
         self.fleet: Fleet
         self.timers: Timers
         self.counter: Counter | None = None
-        self.peers: Noting | None = None
+        self.peers: NotePublisher | None = None
         self.open_requests: dict[int, Request] = {}
-        self.ids = set[bytes]()
+        self.open_ids = set[bytes]()
         self.last_number, self.leaving = 0, False
-        self.right: Right | None = None  # None: everything is permitted
+        self.permissions: Permissions | None = None  # None: everything is permitted
         self.servers_in_maintenance: frozenset[str] = frozenset()
-        self.shown: dict[str, Listed] | None = None  # latest list of app servers; None: not kept
+        self.listed_servers: dict[str, Listed] | None = None  # latest list of app servers; None: not kept
         # The dispatcher's own calls, made after the current results without passing through the queue.
         self.deferred_calls: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
-        self._queue = Post(deployment.bounds.queue)
-        self.post = self._queue.post
+        self._queue = CallQueue(deployment.bounds.queue)
+        self.enqueue = self._queue.enqueue
 
     async def run(self) -> None:
         """Process queued calls until cancelled."""
@@ -114,7 +114,7 @@
                 self._call_safely(self._add_to_counter, add)
             for note in results.notes:
                 if self.peers is not None:
-                    self.peers.tell(note)
+                    self.peers.publish(note)
             if not self.deferred_calls:
                 break
             while self.deferred_calls:
@@ -124,16 +124,16 @@
 
     def take(self, request: Request) -> None:
         """Hand a new request to the decisions, or answer it at once where it cannot be accepted."""
-        if request.gone:  # the client left while the request was queued
+        if request.client_gone:  # the client left while the request was queued
             return
-        accepting = not self.leaving and (self.right is None or self.right.may_take())
+        accepting = not self.leaving and (self.permissions is None or self.permissions.may_take())
         if not accepting or len(self.open_requests) >= self.max_open_requests:
             self._set_answer(request, BUSY_ANSWER, NOT_ACCEPTING if not accepting else TOO_MANY_OPEN)
             return
-        if request.id in self.ids:
+        if request.id in self.open_ids:
             self._set_answer(request, DUPLICATE_ID_ANSWER, DUPLICATE_ID)
             return
-        self.ids.add(request.id)
+        self.open_ids.add(request.id)
         now = self.clock.now()
         request.number = self.last_number = self.last_number + 1
         self.open_requests[request.number] = request
@@ -155,15 +155,15 @@
             left_s = request.deadline - now
             self._log_step(request, "submission.taken", plan=request.plan, units=request.units, left_s=left_s)
 
-    def left(self, request: Request) -> None:
+    def client_left(self, request: Request) -> None:
         """Handle the end of the request's client connection."""
-        request.gone = True
+        request.client_gone = True
         if request.handle is not None and request.answer is None:
             request.handle.left(self.clock.now())
         # Deferred: the pending results may contain a send for this request, which has to end first.
         self.deferred_calls.append((self._remove_if_done, (request,)))
 
-    def ended(self, attempt: Attempt, answer: Answer) -> None:
+    def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
         """Handle the end of an attempt; the first successful answer becomes the request's answer."""
         if attempt.finished:
             return
@@ -179,7 +179,7 @@
                 written=attempt.written,
                 held_back=attempt.refusal or "",
             )
-        request.out.pop(attempt.number, None)
+        request.open_attempts.pop(attempt.number, None)
         if answer.value:
             self._set_answer(request, [answer.value])
         if request.handle is not None:
@@ -189,7 +189,7 @@
                 attempt.number,
                 answer.outcome,
                 now - attempt.started_at,
-                request.answer is not None or request.gone,
+                request.answer is not None or request.client_gone,
                 answer.actual,
                 answer.report,
             )
@@ -198,28 +198,28 @@
                 self.roster.ended(self.clock.now(), server.name, answer.outcome)
         self._remove_if_done(request)
 
-    def expired(self, attempt: Attempt) -> None:
+    def attempt_timed_out(self, attempt: Attempt) -> None:
         """Time an attempt out, unless its result is already in the queue."""
-        if not attempt.finished and not attempt.answered:
+        if not attempt.finished and not attempt.result_queued:
             self.fleet.call_off(attempt)
-            self.ended(attempt, Answer("timed_out" if attempt.written else "unreachable"))
+            self.attempt_ended(attempt, Answer("timed_out" if attempt.written else "unreachable"))
 
     def listed(self, entries: list[Listed], complete: bool) -> None:
         """Apply a list of app servers; `complete` is false where `entries` are changes only."""
-        self.look_at_wall()  # first: the start times below are converted by the wall clock
+        self.follow_wall_clock()  # first: the start times below are converted by the wall clock
         entries = self.start_times.listed(self.clock.now(), entries, complete)
-        if self.shown is not None:
+        if self.listed_servers is not None:
             if complete:
-                self.shown.clear()
+                self.listed_servers.clear()
             for entry in entries:
                 if entry.facts.presence == "gone":
-                    self.shown.pop(entry.facts.server, None)
+                    self.listed_servers.pop(entry.facts.server, None)
                 else:
-                    self.shown[entry.facts.server] = entry
+                    self.listed_servers[entry.facts.server] = entry
             entries = [self._with_maintenance(entry) for entry in entries]
         self.roster.listed(self.clock.now(), entries, complete)
 
-    def look_at_wall(self) -> None:
+    def follow_wall_clock(self) -> None:
         """Pass steps of the wall clock on to the decisions.
 
         All nodes derive the names of an epoch's counts from the wall clock.
@@ -228,16 +228,18 @@
             self.log.say(f"the wall clock was stepped by {step:.3f} s", "clock.stepped", step_s=step)
             self.gateway.follow_wall(self.clock.wall.shift)
 
-    def take_out(self, servers: frozenset[str]) -> None:
+    def set_servers_in_maintenance(self, servers: frozenset[str]) -> None:
         """Drain exactly these app servers for maintenance; others return to their listed state."""
-        assert self.shown is not None, "the list of app servers is not kept"
+        assert self.listed_servers is not None, "the list of app servers is not kept"
         changed, self.servers_in_maintenance = self.servers_in_maintenance ^ servers, servers
         if entries := [
-            self._with_maintenance(self.shown[name]) for name in sorted(changed) if name in self.shown
+            self._with_maintenance(self.listed_servers[name])
+            for name in sorted(changed)
+            if name in self.listed_servers
         ]:
             self.roster.listed(self.clock.now(), entries, False)
 
-    def _tell_roster(self, entries: Sequence[Listing], complete: bool) -> None:
+    def _apply_roster(self, entries: Sequence[Listing], complete: bool) -> None:
         """Apply a list of the subset's app servers, or changes to it, to the connections and decisions."""
         self._log_subset()
         self.fleet.roster(entries, complete)
@@ -255,7 +257,7 @@
                 listed=listed,
             )
 
-    def _fit_subset(self) -> None:
+    def _resize_subset(self) -> None:
         self.roster.fit(self.clock.now())
 
     def _with_maintenance(self, entry: Listed) -> Listed:
@@ -279,9 +281,9 @@
     def woken(self) -> None:
         """Handle the wake-up that the decisions asked for."""
         self.gateway.wake(self.clock.now())
-        self._fit_subset()
+        self._resize_subset()
 
-    def end_all(self) -> None:
+    def end_open_requests(self) -> None:
         """End all open requests before the node exits, each with the answer that is safe for it."""
         now, self.leaving = self.clock.now(), True
         for request in list(self.open_requests.values()):
@@ -296,8 +298,10 @@
         now = self.clock.now()
         for request in [one for one in self.open_requests.values() if now > one.deadline + OVERDUE_GRACE_S]:
             late_s = now - request.deadline
-            if request.answer is None and not request.gone:
-                self.invariants.check(late_s <= LATE_S, Invariant.ANSWERED_IN_TIME, request.id, late_s=late_s)
+            if request.answer is None and not request.client_gone:
+                self.invariants.check(
+                    late_s <= LATE_ANSWER_GRACE_S, Invariant.ANSWERED_IN_TIME, request.id, late_s=late_s
+                )
                 self._log_step_if_followed(request, "submission.overdue", late_s=late_s)
                 self._set_answer(request, GIVEN_UP_ANSWER, DEADLINE_PASSED)
             if request.handle is not None and not request.handle.closed:
@@ -327,18 +331,18 @@
             request, request.attempt_count, now, until, request.handle.begin_by(request.attempt_count)
         )
         request.attempt_count += 1
-        request.out[attempt.number] = attempt
+        request.open_attempts[attempt.number] = attempt
         if self.log.follows:
             left_s = request.deadline - now
             self._log_step(request, "execution.sent", attempt=attempt.number, server=server, left_s=left_s)
         # Permission is checked at each send: a process that was suspended past the end of its lease sends
         # before any of its timers fires.
-        permitted = self.right is None or self.right.may_send(server)
-        if permitted and not request.gone and self.fleet.send(server, attempt):
-            self.timers.at(until, self.expired, attempt)
+        permitted = self.permissions is None or self.permissions.may_send(server)
+        if permitted and not request.client_gone and self.fleet.send(server, attempt):
+            self.timers.at(until, self.attempt_timed_out, attempt)
         else:
             # The attempt has not run, which says nothing about the server.
-            self.deferred_calls.append((self.ended, (attempt, Answer("moot"))))
+            self.deferred_calls.append((self.attempt_ended, (attempt, Answer("moot"))))
 
     def _add_to_counter(self, name: int, amount: float, keep_s: float) -> None:
         if self.counter is None or not self.counter.add(name, amount, keep_s):
@@ -346,10 +350,10 @@
 
     def _cancel_attempt(self, number: int, attempt_number: int) -> None:
         request = self.open_requests.get(number)
-        attempt = request.out.get(attempt_number) if request else None
-        if attempt is not None and not attempt.answered:
+        attempt = request.open_attempts.get(attempt_number) if request else None
+        if attempt is not None and not attempt.result_queued:
             self.fleet.call_off(attempt)
-            self.deferred_calls.append((self.ended, (attempt, Answer("withdrawn"))))
+            self.deferred_calls.append((self.attempt_ended, (attempt, Answer("withdrawn"))))
 
     def _answer_without_server(self, number: int, answer: list[Buffer]) -> None:
         request = self.open_requests.get(number)
@@ -360,8 +364,8 @@
 
     def _set_answer(self, request: Request, answer: list[Buffer], why: str = "") -> None:
         """Set a request's final answer, once; `why` is the reason where no app server gave it."""
-        if request.answer is None and not request.gone:
-            self.answered[why or SERVER_ANSWERED] += 1
+        if request.answer is None and not request.client_gone:
+            self.answer_counts[why or SERVER_ANSWERED] += 1
             if self.log.follows:
                 self._log_step(request, "submission.answered", answer=answer_kind(answer), why=why)
             request.answer = answer
@@ -369,7 +373,7 @@
 
     def _remove_if_done(self, request: Request) -> None:
         """Remove a request that has an answer, or no client, and no attempt out."""
-        if not request.out and (request.gone or request.answer is not None):
+        if not request.open_attempts and (request.client_gone or request.answer is not None):
             if self.open_requests.pop(request.number, None) is not None:
-                self.ids.discard(request.id)
+                self.open_ids.discard(request.id)
             request.raw = b""  # timers may refer to the request for a while; release its bytes now
--- a/merlintally/net/invariants.py
+++ b/merlintally/net/invariants.py
@@ -11,10 +11,10 @@
 
 from merlintally.net.log import Log
 
-HELD_UP_S = 0.15  # for which a process may be suspended between reading its clock and writing
-GONE_S = 0.1  # after the end of a client, until which attempts for it may still begin
-LATE_S = 0.5  # after its deadline, until which a late answer is tolerated
-WAIT_SLACK_S = 0.15  # by which the time stated to an app server may exceed the remaining time
+MAX_SUSPENSION_S = 0.15  # for which a process may be suspended between reading its clock and writing
+CLIENT_GONE_GRACE_S = 0.1  # after the end of a client, until which attempts for it may still begin
+LATE_ANSWER_GRACE_S = 0.5  # after its deadline, until which a late answer is tolerated
+STATED_WAIT_SLACK_S = 0.15  # by which the time stated to an app server may exceed the remaining time
 
 
 class Invariant(StrEnum):
--- a/merlintally/net/node.py
+++ b/merlintally/net/node.py
@@ -131,7 +131,7 @@
         told, bounds, log = self.deployment, self.deployment.bounds, self.log
         clock = Clock()
         dispatcher = Dispatcher(told, clock, log)
-        timers = dispatcher.timers = Timers(clock, dispatcher.post, log, bounds.late_s)
+        timers = dispatcher.timers = Timers(clock, dispatcher.enqueue, log, bounds.late_s)
         discovery = self.discovery = Discovery(
             told.discovery, told.known_index, bounds, dispatcher, dispatcher.gateway.random, log, told.pushed
         )
@@ -203,8 +203,8 @@
             self.phases.enter(Phase.FINISHING)
             clients.retire()
             await self._until_answered(dispatcher, clients)
-        clients.read_no_more()
-        await dispatcher.post(dispatcher.end_all)
+        clients.close_all_after_answers()
+        await dispatcher.enqueue(dispatcher.end_open_requests)
         with anyio.move_on_after(bounds.late_s):
             await self._until_answered(dispatcher, clients)
         # Guards against last answers lost with a reset: what clients still sent is read before all closes.
@@ -219,7 +219,7 @@
         fleet, parts = dispatcher.fleet, (dispatcher, dispatcher.fleet, clients)
         broken = sum((part.invariants.broken for part in parts), collections.Counter[Invariant]())
         totals = {
-            "answers": dict(dispatcher.answered),
+            "answers": dict(dispatcher.answer_counts),
             "closed": {reason.name: count for reason, count in clients.closed.items()},
             "held_back": {reason.name: count for reason, count in fleet.guard.refused.items()},
             "invariants_broken": {invariant.name: count for invariant, count in broken.items()},
@@ -233,8 +233,8 @@
     async def _sweep(self, dispatcher: Dispatcher, clients: Clients, fleet: Fleet) -> None:
         while True:
             await anyio.sleep(SWEEP_S)
-            await dispatcher.post(dispatcher.look_at_wall)
-            await dispatcher.post(dispatcher.answer_overdue)
+            await dispatcher.enqueue(dispatcher.follow_wall_clock)
+            await dispatcher.enqueue(dispatcher.answer_overdue)
             clients.sweep()
             fleet.sweep()
 
--- a/merlintally/net/peers.py
+++ b/merlintally/net/peers.py
@@ -7,9 +7,9 @@
 
 import anyio
 
+from merlintally.net.call_queue import Owner
 from merlintally.net.configuration import Address
 from merlintally.net.log import Log
-from merlintally.net.post import Owner
 
 MOST = 256  # bytes of a datagram, by the protocol
 
@@ -27,7 +27,7 @@
         self.everyone, self.dispatcher, self.log = everyone, dispatcher, log
         self.sock = sock
 
-    def tell(self, payload: bytes) -> None:
+    def publish(self, payload: bytes) -> None:
         """To all others; what can't be sent now is lost, as it may be on its way."""
         if self.everyone is None or len(payload) > MOST:
             self.log.say(f"a note of {len(payload)} bytes can't be sent", "note.unsent", bytes=len(payload))
@@ -44,7 +44,7 @@
                 continue
             number = self.numbers.get(sender)
             if number is not None and len(payload) <= MOST:
-                await self.dispatcher.post(self.dispatcher.noted, number, payload)
+                await self.dispatcher.enqueue(self.dispatcher.noted, number, payload)
             else:
                 told = f"{len(payload)} bytes or more from {sender[0]}:{sender[1]}"
                 self.log.say(f"a datagram of {told} is dropped", "note.dropped")
--- a/merlintally/net/requests.py
+++ b/merlintally/net/requests.py
@@ -69,10 +69,10 @@
         "held_bytes",
         "number",
         "handle",
-        "out",
+        "open_attempts",
         "attempt_count",
-        "gone",
-        "gone_at",
+        "client_gone",
+        "client_gone_at",
         "effect",
     )
 
@@ -119,15 +119,15 @@
             arrived_at + min(wait_ms / 1000, lane.hard_limit),
             len(raw) + REQUEST_OVERHEAD_BYTES,
         )
-        self.number, self.attempt_count, self.gone = 0, 0, False
-        self.gone_at: float | None = None  # when the end of its client was seen, in Unix seconds
+        self.number, self.attempt_count, self.client_gone = 0, 0, False
+        self.client_gone_at: float | None = None  # when the end of its client was seen, in Unix seconds
         self.effect = lane.effect
         self.handle: Submission | None = None
-        self.out: dict[int, Attempt] = {}
+        self.open_attempts: dict[int, Attempt] = {}
 
     def others(self, attempt: Attempt) -> Iterator[Attempt]:
         """Return the other attempts of this request that have not ended."""
-        return (other for other in self.out.values() if other is not attempt)
+        return (other for other in self.open_attempts.values() if other is not attempt)
 
     def message(self, wait_s: float) -> list[Buffer]:
         """Return the command for an app server: as received, with `wait_s` as its time to answer in."""
@@ -145,29 +145,29 @@
         "request",
         "number",
         "started_at",
-        "until",
+        "deadline",
         "begin_by",
         "link",
         "written",
-        "answered",
+        "result_queued",
         "finished",
         "refusal",
     )
 
     def __init__(
-        self, request: Request, number: int, started_at: float, until: float, begin_by: float
+        self, request: Request, number: int, started_at: float, deadline: float, begin_by: float
     ) -> None:
-        self.request, self.number, self.started_at, self.until = request, number, started_at, until
+        self.request, self.number, self.started_at, self.deadline = request, number, started_at, deadline
         self.begin_by = begin_by  # latest time at which it may be written
         self.link: object = None  # the app server connection that carries it; opaque here
         self.written = False  # up to its last byte: from then on it may run
-        self.answered = False  # its result is in the queue of the owner of the decisions
+        self.result_queued = False  # its result is in the queue of the owner of the decisions
         self.finished = False
         self.refusal: str | None = None  # why the send guard held it back, if it did
 
     def may_run(self) -> bool:
         """Return whether its app server may be running it now, as far as the node has seen."""
-        return self.written and not self.finished and not self.answered
+        return self.written and not self.finished and not self.result_queued
 
 
 class Answer(NamedTuple):
--- a/merlintally/net/send_guard.py
+++ b/merlintally/net/send_guard.py
@@ -61,8 +61,8 @@
         request = attempt.request
         if request.answer is not None:
             return Refusal.ANSWERED
-        if request.gone or request.client.has_left():
-            request.gone = True
+        if request.client_gone or request.client.has_left():
+            request.client_gone = True
             return Refusal.CLIENT_LEFT
         if request.client.end_may_be_unread():
             return Refusal.CLIENT_UNSEEN
--- a/merlintally/net/servers.py
+++ b/merlintally/net/servers.py
@@ -11,10 +11,16 @@
 
 from merlintally.fields import Malformed
 from merlintally.interface import LoadReport, Outcome, Presence
+from merlintally.net.call_queue import Owner
 from merlintally.net.configuration import Address, Deployment
-from merlintally.net.invariants import GONE_S, HELD_UP_S, WAIT_SLACK_S, Invariant, Invariants
+from merlintally.net.invariants import (
+    CLIENT_GONE_GRACE_S,
+    MAX_SUSPENSION_S,
+    STATED_WAIT_SLACK_S,
+    Invariant,
+    Invariants,
+)
 from merlintally.net.log import Log
-from merlintally.net.post import Owner
 from merlintally.net.requests import Answer, Attempt
 from merlintally.net.resp import array_at, bulk, line_end
 from merlintally.net.send_guard import SendGuard
@@ -149,7 +155,7 @@
     def begin(self, attempt: Attempt) -> None:
         """Write an attempt out; when that fails before its last byte, it has never run."""
         self.attempt, attempt.link = attempt, self
-        wait = attempt.until - self.fleet.clock.now()
+        wait = attempt.deadline - self.fleet.clock.now()
         try:
             attempt.written = self.stream.write(attempt.request.message(wait))
         except OSError:
@@ -221,13 +227,13 @@
     def check_begun(self, attempt: Attempt, server: Server, wait: float) -> None:
         """Look at an attempt of which the first bytes have just been written, to be answered in `wait` s."""
         request, now, check = attempt.request, self.clock.now(), self.invariants.check
-        gone_s = 0.0 if request.gone_at is None else now - request.gone_at
+        gone_s = 0.0 if request.client_gone_at is None else now - request.client_gone_at
         left_s, leaving_s = request.deadline - now, now - server.leaving_since
-        check(gone_s <= GONE_S, Invariant.CLIENT_THERE, request.id, gone_s=gone_s)
+        check(gone_s <= CLIENT_GONE_GRACE_S, Invariant.CLIENT_THERE, request.id, gone_s=gone_s)
         check(request.answer is None, Invariant.NOT_ANSWERED, request.id)
         late_s = now - min(attempt.begin_by, request.deadline)
-        check(late_s <= HELD_UP_S, Invariant.NOT_TOO_LATE, request.id, late_s=late_s)
-        check(wait <= max(0.0, left_s) + WAIT_SLACK_S, Invariant.WAIT_TOLD, request.id, wait_s=wait)
+        check(late_s <= MAX_SUSPENSION_S, Invariant.NOT_TOO_LATE, request.id, late_s=late_s)
+        check(wait <= max(0.0, left_s) + STATED_WAIT_SLACK_S, Invariant.WAIT_TOLD, request.id, wait_s=wait)
         check(leaving_s <= self.drain_grace, Invariant.SERVER_STAYS, request.id, server=server.name)
         twice = request.effect == "one-shot" and any(one.may_run() for one in request.others(attempt))
         check(not twice, Invariant.ONE_COPY, request.id)
@@ -325,8 +331,8 @@
             link.server.idle.remove(link)
 
     async def report(self, attempt: Attempt, answer: Answer) -> None:
-        attempt.answered = True
-        await self.dispatcher.post(self.dispatcher.ended, attempt, answer)
+        attempt.result_queued = True
+        await self.dispatcher.enqueue(self.dispatcher.attempt_ended, attempt, answer)
 
     def sweep(self) -> None:
         """Retire what stands idle well before its server closes it: what crosses that may have run."""
--- a/merlintally/net/timers.py
+++ b/merlintally/net/timers.py
@@ -37,8 +37,8 @@
 class Timers:
     """Hands calls to the queue at their times. None is taken back: what is no longer wanted is ignored."""
 
-    def __init__(self, clock: Clock, post: Callable[..., Any], log: Log, late: float) -> None:
-        self.clock, self.post, self.log, self.late = clock, post, log, late
+    def __init__(self, clock: Clock, enqueue: Callable[..., Any], log: Log, late: float) -> None:
+        self.clock, self.enqueue, self.log, self.late = clock, enqueue, log, late
         self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.number, self.sleeping = 0, anyio.CancelScope()
 
@@ -61,4 +61,4 @@
                 self.log.say(f"the loop runs {late:.3f} s late", "loop.late", late_s=round(late, 3))
             while self.due and self.due[0][0] <= now:
                 _, _, call, args = heapq.heappop(self.due)
-                await self.post(call, *args)
+                await self.enqueue(call, *args)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,11 +24,11 @@
 from merlintally.net.resp import array, array_at
 
 PLAN = PlanFacts("plan", 4.0, 8.0, 0, 8.0, 16.0, 1.0, 1.0, 0.0, 1.0)
-IDS = count(1)
+REQUEST_IDS = count(1)
 SERVER = ServerFacts("s1", "on", "z", 0, 0.0, 1.0, "m")
-NOTHING = b"$-1\r\n$-1\r\n"
+NO_FIGURES = b"$-1\r\n$-1\r\n"
 HI = b"$2\r\nhi\r\n"
-OK = b"*3\r\n" + HI + NOTHING
+OK = b"*3\r\n" + HI + NO_FIGURES
 
 
 def lane(**changes: Any) -> LaneFacts:
@@ -91,7 +91,7 @@
     return created
 
 
-def told(**changes: Any) -> Deployment:
+def make_deployment(**changes: Any) -> Deployment:
     """Return a deployment with one lane of each effect, a port chosen by the system, and no app servers."""
     configuration: dict[str, Any] = {
         "name": "n0",
@@ -119,7 +119,7 @@
     return replace(deployment, listen=("127.0.0.1", 0), **changes)
 
 
-def said(
+def request_bytes(
     name: bytes = b"Q.ASK",
     terms: bytes = b"c=look,t=plan,d=1500,units=1,spread=1,first=0",
     body: bytes = b"BODY",
@@ -127,29 +127,31 @@
     number: bytes = b"",
 ) -> bytes:
     """Encode a request as a client does, by default with an id of its own."""
-    words = [name, customer, number or b"%016x" % next(IDS), terms]
+    words = [name, customer, number or b"%016x" % next(REQUEST_IDS), terms]
     return array(*words, *([body] if name == b"Q.DO" else []))
 
 
-def taken(raw: bytes, client: Any = None, arrived_at: float = 100.0) -> Request:
+def parsed_request(raw: bytes, client: Any = None, arrived_at: float = 100.0) -> Request:
     """Parse an encoded request, as a client connection does; raises Malformed."""
     command = array_at(bytearray(raw), 0, len(raw))
     assert command is not None
-    return Request(client, raw, [span for span in command[0] if span is not None], told().facts, arrived_at)
+    return Request(
+        client, raw, [span for span in command[0] if span is not None], make_deployment().facts, arrived_at
+    )
 
 
 class Standin:
     """A stand-in for an outside system, on loopback.
 
-    `say` maps what was received on a connection since the last reply to the next reply: empty bytes
+    `respond` maps what was received on a connection since the last reply to the next reply: empty bytes
     wait for more input, and None closes the connection. Replies are delayed until `gate` is set, if
-    there is one. With `breaks_off`, each connection is reset after its first reply.
+    there is one. With `resets_connections`, each connection is reset after its first reply.
     """
 
-    def __init__(self, say: Callable[[bytes], bytes | None]) -> None:
-        self.say, self.heard, self.breaks_off = say, list[bytes](), False
+    def __init__(self, respond: Callable[[bytes], bytes | None]) -> None:
+        self.respond, self.received, self.resets_connections = respond, list[bytes](), False
         self.gate: anyio.Event | None = None
-        self.accepted = self.ends = 0
+        self.accepted = self.closed_connections = 0
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address: tuple[str, int] = self.sock.getsockname()
@@ -171,9 +173,9 @@
                 data = sock.recv(1 << 16)
                 if not data:
                     break
-                self.heard.append(data)
+                self.received.append(data)
                 unanswered += data
-                reply = self.say(unanswered)
+                reply = self.respond(unanswered)
                 if reply is None:
                     break
                 if reply:
@@ -181,29 +183,29 @@
                         await self.gate.wait()
                     sock.sendall(reply)
                     unanswered = b""
-                    if self.breaks_off:
+                    if self.resets_connections:
                         await anyio.sleep(0.02)
                         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                         break
-        self.ends += 1
+        self.closed_connections += 1
 
 
 def server(answer: bytes | None = OK) -> Standin:
     """Return an app server that gives the same answer to all requests; None closes the connection instead."""
-    return Standin(lambda received: answer if whole(received) else b"")
+    return Standin(lambda received: answer if is_complete_command(received) else b"")
 
 
-def whole(received: bytes) -> bool:
+def is_complete_command(received: bytes) -> bool:
     """Return whether a complete command was received."""
     return array_at(bytearray(received), 0, len(received)) is not None
 
 
-def silent() -> Standin:
+def silent_server() -> Standin:
     """Return a stand-in that receives and never replies."""
     return Standin(lambda received: b"")
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until another task has made a condition true; raises TimeoutError after 5 s."""
     with anyio.fail_after(5.0):
         while not condition():
@@ -220,12 +222,12 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-def known(*servers: Standin) -> tuple[Listed, ...]:
+def known_servers(*servers: Standin) -> tuple[Listed, ...]:
     """Return stand-ins as the app servers that a node starts with."""
     return tuple(page(json.loads(listing(*servers).split(b"\r\n\r\n")[1]))[2])
 
 
-def answers_in(received: bytes) -> int:
+def count_answers(received: bytes) -> int:
     """Count the complete answers, lines or bulk strings, in what was received."""
     count = position = 0
     while (stop := received.find(b"\r\n", position)) >= 0:
@@ -250,11 +252,11 @@
         sock.setblocking(False)
         return sock
 
-    async def hear(self, sock: socket.socket, until: int = 0) -> bytes:
+    async def receive(self, sock: socket.socket, until: int = 0) -> bytes:
         """Receive `until` answers, or, if 0, everything up to the connection's end; at most for 3 s."""
         received = b""
         with anyio.move_on_after(3.0):
-            while not until or answers_in(received) < until:
+            while not until or count_answers(received) < until:
                 await anyio.wait_readable(sock)
                 try:
                     data = sock.recv(1 << 16)
@@ -272,10 +274,10 @@
             for chunk in chunks:
                 sock.sendall(chunk)
                 await anyio.sleep(0.002)
-            return await self.hear(sock, until=until)
+            return await self.receive(sock, until=until)
 
 
-def play(deployment: Deployment, act: Callable[[Scene], Awaitable[None]], *standins: Standin) -> str:
+def run_node(deployment: Deployment, act: Callable[[Scene], Awaitable[None]], *standins: Standin) -> str:
     """Serve with a node and stand-ins while `act` runs; return the node's log."""
     log = io.StringIO()
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -256,7 +256,7 @@
         while told(node.sums.values()):
             handed_on += 1
         assert handed_on < 10
-        node.tell(told([SimpleNamespace(mark=255, drawn=2.0)]))
+        node.publish(told([SimpleNamespace(mark=255, drawn=2.0)]))
         node._drawn(100.0)
         assert node.core.copies is not None and node.core.copies.store.used("000000ff") == 2.0
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,18 @@
 
 import anyio
 import pytest
-from helpers import HI, Scene, known, play, said, server, silent, taken, told, until
+from helpers import (
+    HI,
+    Scene,
+    known_servers,
+    make_deployment,
+    parsed_request,
+    request_bytes,
+    run_node,
+    server,
+    silent_server,
+    wait_until,
+)
 
 from merlintally.net.clients import Client, Clients
 from merlintally.net.configuration import Bounds, page
@@ -25,12 +36,12 @@
 
 def clients_of(**bounds: Any) -> Clients:
     """Return the `Clients` of a node, without the node, with descriptors for one connection."""
-    deployment = told(bounds=Bounds(**bounds))
+    deployment = make_deployment(bounds=Bounds(**bounds))
     return Clients(
         deployment,
         Mock(),
         Phases(),
-        Mock(post=AsyncMock()),
+        Mock(enqueue=AsyncMock()),
         Clock(),
         Log("n", 9.0),
         Mock(),
@@ -53,41 +64,41 @@
 @pytest.mark.parametrize(
     "unread_input, changes",
     [
-        (said(), {"bounds": Bounds(pipelined=1)}),
+        (request_bytes(), {"bounds": Bounds(pipelined=1)}),
         (array(b"nap"), {"bounds": Bounds(fault_pause_s=5.0)}),
-        (said()[:9], {"memory": 1000}),
+        (request_bytes()[:9], {"memory": 1000}),
     ],
     ids=["answers awaited", "pause for a fault", "no room"],
 )
 def test_a_disconnect_behind_unread_input_is_detected(unread_input: bytes, changes: dict[str, Any]) -> None:
     """Otherwise its attempt goes on until the hard limit."""
-    backend = silent()
+    backend = silent_server()
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
-        sock.sendall(said() + unread_input)
-        await until(lambda: bool(backend.heard))
+        sock.sendall(request_bytes() + unread_input)
+        await wait_until(lambda: bool(backend.received))
         sock.close()
         with anyio.fail_after(0.8):
-            while not backend.ends:
+            while not backend.closed_connections:
                 await anyio.sleep(0.002)
 
-    play(told(known=known(backend), **changes), act, backend)
-    assert len(backend.heard) == 1
+    run_node(make_deployment(known=known_servers(backend), **changes), act, backend)
+    assert len(backend.received) == 1
 
 
 def test_requests_of_a_disconnected_client_are_marked_before_the_call_waits_in_the_queue() -> None:
     """Otherwise attempts are sent for it while the call waits behind others in the queue."""
     clients = clients_of()
     client, theirs = client_of(clients)
-    owed = [taken(said(), client) for _ in range(3)]
+    owed = [parsed_request(request_bytes(), client) for _ in range(3)]
     client.pending.extend(owed)
     seen = list[bool]()
 
-    async def post(*call: object) -> None:
-        seen.extend(one.gone for one in owed)
+    async def enqueue(*call: object) -> None:
+        seen.extend(one.client_gone for one in owed)
 
-    clients.dispatcher = Mock(post=post)
+    clients.dispatcher = Mock(enqueue=enqueue)
     with theirs:
         anyio.run(client._release)
     assert seen == [True] * 9
@@ -102,8 +113,8 @@
         await client._wait_while_reading(receive_partial_command)
 
     async def receive_partial_command() -> None:
-        theirs.sendall(said()[:9])
-        await until(lambda: client.stream.end > 0)
+        theirs.sendall(request_bytes()[:9])
+        await wait_until(lambda: client.stream.end > 0)
 
     with theirs:
         anyio.run(act)
@@ -122,7 +133,7 @@
     close: Callable[[Clients], object], read_bytes: int
 ) -> None:
     """A connection with unread input in the receive buffer is not closed as idle."""
-    clients, raw = clients_of(), said()
+    clients, raw = clients_of(), request_bytes()
     client, theirs = client_of(clients)
     client.stream.buffer[:read_bytes], client.stream.end = raw[:read_bytes], read_bytes
     client.last_progress_at = client.command_deadline = client.last_progress_at - 100.0
@@ -142,7 +153,7 @@
     client, theirs = client_of(clients)
     client.closing = True
     with theirs:
-        theirs.sendall(said())
+        theirs.sendall(request_bytes())
         assert not clients.evict() and not client.ended
         client.stream.sock.recv(1 << 16)
         assert clients.evict() and client.ended
@@ -153,20 +164,20 @@
     backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        raw = said()
+        raw = request_bytes()
         idle, partial = await scene.connect(), await scene.connect()
-        idle.sendall(said())
-        answers.append(await scene.hear(idle, until=1))
+        idle.sendall(request_bytes())
+        answers.append(await scene.receive(idle, until=1))
         partial.sendall(raw[:40])
         scene.node.leave()
         await scene.node.phases.reached(Phase.FINISHING)
-        answers.append(await scene.hear(idle))
+        answers.append(await scene.receive(idle))
         partial.sendall(raw[40:])
-        answers.append(await scene.hear(partial))
+        answers.append(await scene.receive(partial))
         await scene.node.phases.reached(Phase.ENDED)
 
-    play(told(known=known(backend), bounds=Bounds(leave_s=0.05)), act, backend)
-    assert answers == [HI, b"", HI] and len(backend.heard) == 2
+    run_node(make_deployment(known=known_servers(backend), bounds=Bounds(leave_s=0.05)), act, backend)
+    assert answers == [HI, b"", HI] and len(backend.received) == 2
 
 
 def test_a_client_that_does_not_disconnect_does_not_delay_the_shutdown() -> None:
@@ -177,37 +188,39 @@
             await scene.node.phases.reached(Phase.ENDED)
         idle.close()
 
-    play(told(bounds=Bounds(leave_s=0.05)), act)
+    run_node(make_deployment(bounds=Bounds(leave_s=0.05)), act)
 
 
 def test_no_input_is_read_after_open_requests_are_ended() -> None:
     """A client that is sending another command is disconnected before the process ends."""
-    backend, answers, phases = silent(), list[bytes](), list[Phase]()
+    backend, answers, phases = silent_server(), list[bytes](), list[Phase]()
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
-        sock.sendall(said())
-        await until(lambda: bool(backend.heard))
-        sock.sendall(said()[:40])
+        sock.sendall(request_bytes())
+        await wait_until(lambda: bool(backend.received))
+        sock.sendall(request_bytes()[:40])
         scene.node.leave()
-        answers.append(await scene.hear(sock))
+        answers.append(await scene.receive(sock))
         phases.append(scene.node.phases.current)
         sock.close()
 
-    play(told(known=known(backend), bounds=Bounds(leave_s=0.05, finish_s=0.2)), act, backend)
-    assert answers[0].startswith(b"-BUSY") and phases == [Phase.FINISHING] and len(backend.heard) == 1
+    run_node(
+        make_deployment(known=known_servers(backend), bounds=Bounds(leave_s=0.05, finish_s=0.2)), act, backend
+    )
+    assert answers[0].startswith(b"-BUSY") and phases == [Phase.FINISHING] and len(backend.received) == 1
 
 
 def test_a_request_read_after_open_requests_are_ended_is_bounced_and_not_sent() -> None:
     """No task would be left to deliver the answer."""
-    dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0))
+    dispatcher = Dispatcher(make_deployment(), Clock(), Log("n", 9.0))
     dispatcher.timers, dispatcher.fleet = Mock(), Mock()
     dispatcher.listed(
         page({"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]})[2],
         True,
     )
-    dispatcher.end_all()
-    late = taken(said(), Mock(), Clock().now())
+    dispatcher.end_open_requests()
+    late = parsed_request(request_bytes(), Mock(), Clock().now())
     dispatcher.take(late)
     dispatcher.carry_out()
     assert late.answer == [b"-BUSY\r\n"] and not dispatcher.fleet.send.called
@@ -227,12 +240,12 @@
 
 def test_a_node_with_short_hard_limits_shuts_down_in_time() -> None:
     """It has to end within 0.7 s after the longest hard limit, when it is killed."""
-    deployment = told(bounds=Bounds(leave_s=0.05))
+    deployment = make_deployment(bounds=Bounds(leave_s=0.05))
     lanes = tuple(replace(lane, quoted_time=0.1, hard_limit=0.2) for lane in deployment.facts.lanes)
 
     async def act(scene: Scene) -> None:
         partial = await scene.connect()
-        partial.sendall(said()[:9])
+        partial.sendall(request_bytes()[:9])
         scene.node.leave()
         with anyio.fail_after(2.0):
             await scene.node.phases.reached(Phase.ENDED)
@@ -241,7 +254,7 @@
     bounds = deployment.bounds
     assert bounds.finish_beyond_s + bounds.late_s + min(bounds.linger_s, bounds.late_s) < 0.7
 
-    play(replace(deployment, facts=replace(deployment.facts, lanes=lanes)), act)
+    run_node(replace(deployment, facts=replace(deployment.facts, lanes=lanes)), act)
 
 
 # Decisions that are out of date when they are carried out.
@@ -251,10 +264,10 @@
 def test_an_attempt_is_checked_again_when_its_connection_opens(change: str) -> None:
     """Otherwise a slow connect sends a retry outside its deduplication window, to a draining server, or for a
     disconnected client."""
-    backend, dispatcher, clock = silent(), Mock(post=AsyncMock()), Clock()
-    deployment = told(known=known(backend))
+    backend, dispatcher, clock = silent_server(), Mock(enqueue=AsyncMock()), Clock()
+    deployment = make_deployment(known=known_servers(backend))
     client = Mock(has_left=Mock(return_value=False), end_may_be_unread=Mock(return_value=False))
-    one = taken(said(), client, Clock().now())
+    one = parsed_request(request_bytes(), client, Clock().now())
 
     async def act() -> None:
         async with anyio.create_task_group() as group:
@@ -265,7 +278,7 @@
             now = clock.now()
             attempt = Attempt(one, 1, now, now + 5.0, now + 5.0)
             assert fleet.send("s0", attempt)
-            one.gone = change == "gone"
+            one.client_gone = change == "gone"
             if change == "late":
                 attempt.begin_by = now
             if change == "draining":
@@ -274,18 +287,18 @@
                     False,
                 )
             group.start_soon(backend.run)
-            await until(lambda: dispatcher.post.called)
+            await wait_until(lambda: dispatcher.enqueue.called)
             group.cancel_scope.cancel()
 
     anyio.run(act)
     backend.sock.close()
-    assert dispatcher.post.call_args.args[-1].outcome == "unreachable" and not backend.heard
+    assert dispatcher.enqueue.call_args.args[-1].outcome == "unreachable" and not backend.received
 
 
 def test_a_connection_that_its_server_may_close_soon_is_not_used_between_sweeps() -> None:
     """A request that crosses the server's close may have run."""
-    backend, clock = silent(), Clock()
-    deployment = told(known=known(backend), idle_close=1.0)
+    backend, clock = silent_server(), Clock()
+    deployment = make_deployment(known=known_servers(backend), idle_close=1.0)
     fleet = Fleet(deployment, Mock(), clock, Log("n", 9.0), Mock(), Allowance(9), Allowance(1 << 20))
     fleet.roster(deployment.known, True)
     links = [Mock(idle_since=clock.now() - ago) for ago in (0.9, 0.3, 0.001)]
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -11,7 +11,7 @@
 
 import anyio
 import pytest
-from helpers import HI, Scene, known, play, said, server, told, until
+from helpers import HI, Scene, known_servers, make_deployment, request_bytes, run_node, server, wait_until
 
 from merlintally.net import EdgeNode
 from merlintally.net.admission import Admission, AdmissionLimits, Eviction
@@ -52,8 +52,8 @@
     began = time.monotonic()
     sock = await connected(scene)
     with sock:
-        sock.sendall(said(terms=terms))
-        answers = await scene.hear(sock, until=1)
+        sock.sendall(request_bytes(terms=terms))
+        answers = await scene.receive(sock, until=1)
     kind = SERVED if answers == HI else REJECTED if answers.startswith(b"-BUSY") else CLOSED
     assert kind != CLOSED or not answers, answers
     return Outcome(kind, time.monotonic() - began)
@@ -91,14 +91,14 @@
     for number in range(count):
         sock = stack.enter_context(await connected(scene))
         with suppress(ConnectionError):
-            sock.sendall(words or said(terms=TERMS, customer=b"%016x" % (1 << 30 | number)))
+            sock.sendall(words or request_bytes(terms=TERMS, customer=b"%016x" % (1 << 30 | number)))
         held.append(sock)
     return held
 
 
 @pytest.mark.parametrize(
     "count, words",
-    [(150, b""), (400, b""), (600, said()[:40]), (600, b"*")],
+    [(150, b""), (400, b""), (600, request_bytes()[:40]), (600, b"*")],
     ids=["150 one request", "400 one request", "600 partial command", "600 one byte"],
 )
 def test_requests_among_many_connections_end_in_time_and_new_clients_are_served(
@@ -114,13 +114,13 @@
             outcomes.extend(await ask_all(scene, 20))
         after.append(await ask_once(scene))
 
-    play(told(known=known(backend), sockets=160), act, backend)
+    run_node(make_deployment(known=known_servers(backend), sockets=160), act, backend)
     assert all_in_time(outcomes, 20)
     assert any(one.kind == SERVED for one in outcomes)
     assert after[0].kind == SERVED and after[0].elapsed_s < 0.5
 
 
-@pytest.mark.parametrize("words", [b"", said()[:40]], ids=["one request", "partial command"])
+@pytest.mark.parametrize("words", [b"", request_bytes()[:40]], ids=["one request", "partial command"])
 def test_requests_end_in_time_while_new_connections_exhaust_the_descriptors(words: bytes) -> None:
     backend, outcomes = server(), list[Outcome]()
 
@@ -142,7 +142,7 @@
                 for _ in range(4):
                     outcomes.extend(await ask_all(scene, 5))
 
-    play(told(known=known(backend), sockets=160), act, backend)
+    run_node(make_deployment(known=known_servers(backend), sockets=160), act, backend)
     assert all_in_time(outcomes, 20) and any(one.kind == SERVED for one in outcomes)
 
 
@@ -175,57 +175,57 @@
         assert (
             await ask_once(scene)
         ).kind == SERVED  # opens the connection to the app server that is reused below
-        await until(lambda: backend.accepted == 1)
+        await wait_until(lambda: backend.accepted == 1)
         await anyio.sleep(0.02)
         for _ in range(3):  # no await here: the node accepts these afterwards, in this event loop
             with socket.create_connection(scene.node.address) as sock:
-                sock.sendall(said())
+                sock.sendall(request_bytes())
         time.sleep(2 * FRESH_READ_S)  # the event loop is blocked; a longer time has the same effect
         assert (await ask_once(scene)).kind == SERVED
 
-    play(told(known=known(backend), bounds=Bounds(rest_s=0.001)), act, backend)
-    assert len(backend.heard) == 2
+    run_node(make_deployment(known=known_servers(backend), bounds=Bounds(rest_s=0.001)), act, backend)
+    assert len(backend.received) == 2
 
 
 def test_a_request_whose_deadline_passed_in_the_backlog_is_rejected() -> None:
     """Its deadline counts from its arrival, and not from when the node reads it."""
     backend, answers = server(), list[bytes]()
     with (
-        before_service(told(known=known(backend))) as (node, serve),
+        before_service(make_deployment(known=known_servers(backend))) as (node, serve),
         socket.create_connection(node.address) as late,
     ):
-        late.sendall(said(terms=TERMS.replace(b"d=1000", b"d=50")))
+        late.sendall(request_bytes(terms=TERMS.replace(b"d=1000", b"d=50")))
         time.sleep(0.06)  # a longer time has the same effect
 
         async def then(scene: Scene) -> None:
             late.setblocking(False)
-            answers.append(await scene.hear(late, until=1))
+            answers.append(await scene.receive(late, until=1))
 
         serve(then, backend)
-    assert answers[0].startswith(b"-BUSY") and not backend.heard
+    assert answers[0].startswith(b"-BUSY") and not backend.received
 
 
-@pytest.mark.parametrize("then", [b"", said()[:9]], ids=["complete", "more input meanwhile"])
+@pytest.mark.parametrize("then", [b"", request_bytes()[:9]], ids=["complete", "more input meanwhile"])
 def test_a_request_whose_deadline_passed_behind_another_is_rejected(then: bytes) -> None:
     """Input that was read ahead keeps its own arrival time when more is read."""
     backend, answers = server(), list[bytes]()
-    behind = said(terms=TERMS.replace(b"d=1000", b"d=50"))
+    behind = request_bytes(terms=TERMS.replace(b"d=1000", b"d=50"))
 
     async def act(scene: Scene) -> None:
         backend.gate = anyio.Event()
         sock = await scene.connect()
         with sock:
-            sock.sendall(said() + behind)
-            await until(lambda: bool(backend.heard))
+            sock.sendall(request_bytes() + behind)
+            await wait_until(lambda: bool(backend.received))
             await anyio.sleep(0.06)  # a longer time has the same effect
             sock.sendall(then)
             if then:
                 await anyio.sleep(0.01)
             backend.gate.set()
-            answers.append(await scene.hear(sock, until=2))
+            answers.append(await scene.receive(sock, until=2))
 
-    play(told(known=known(backend), bounds=Bounds(pipelined=1)), act, backend)
-    assert answers[0].startswith(HI + b"-BUSY") and len(backend.heard) == 1
+    run_node(make_deployment(known=known_servers(backend), bounds=Bounds(pipelined=1)), act, backend)
+    assert answers[0].startswith(HI + b"-BUSY") and len(backend.received) == 1
 
 
 def test_a_request_on_an_idle_connection_has_its_full_time() -> None:
@@ -237,10 +237,10 @@
         with sock:
             for _ in range(3):
                 await anyio.sleep(0.15)
-                sock.sendall(said(terms=TERMS.replace(b"d=1000", b"d=100")))
-                answers.append(await scene.hear(sock, until=1))
+                sock.sendall(request_bytes(terms=TERMS.replace(b"d=1000", b"d=100")))
+                answers.append(await scene.receive(sock, until=1))
 
-    play(told(known=known(backend)), act, backend)
+    run_node(make_deployment(known=known_servers(backend)), act, backend)
     assert answers == [HI] * 3
 
 
@@ -251,9 +251,11 @@
         with ExitStack() as stack:
             held = await hold(scene, stack, 30, b"*")
             for sock in held:
-                assert await scene.hear(sock) == b""
+                assert await scene.receive(sock) == b""
 
-    log = play(told(known=known(backend), bounds=Bounds(client_patience_s=0.05)), act, backend)
+    log = run_node(
+        make_deployment(known=known_servers(backend), bounds=Bounds(client_patience_s=0.05)), act, backend
+    )
     lines = [line for line in log.splitlines() if CloseReason.NO_REQUEST in line]
     assert 1 <= len(lines) < 5 and "client 127.0.0.1 " in lines[0]
     assert sum(int(line.split(" with ")[0].split()[-1]) for line in lines) == 30
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -24,25 +24,25 @@
 import pytest
 from helpers import (
     HI,
-    IDS,
     OK,
     PLAN,
+    REQUEST_IDS,
     SERVER,
     Scene,
     Standin,
-    answers_in,
+    count_answers,
     gateway,
-    known,
+    is_complete_command,
+    known_servers,
     lane,
     listing,
-    play,
-    said,
+    make_deployment,
+    request_bytes,
+    run_node,
     server,
-    silent,
+    silent_server,
     take,
-    told,
-    until,
-    whole,
+    wait_until,
 )
 
 from merlintally.choice import Gateway, Submission
@@ -86,14 +86,14 @@
         small_buffers(scene.node.listener)
         with small_buffers(socket.socket()) as sock:
             sock.connect(scene.node.address)
-            sock.sendall(said())
-            await until(lambda: len(standin.heard) == 1)
+            sock.sendall(request_bytes())
+            await wait_until(lambda: len(standin.received) == 1)
             await anyio.sleep(0.1)  # its answer has come, and is more than the system holds
             sock.shutdown(socket.SHUT_WR)
             await anyio.sleep(0.2)
             await still_serves(scene)
 
-    play(told(known=known(standin)), act, standin)
+    run_node(make_deployment(known=known_servers(standin)), act, standin)
 
 
 def test_an_answer_that_comes_before_all_of_its_request_is_written_ends_nothing_else(
@@ -120,7 +120,7 @@
         answers = []
 
         async def ask() -> None:
-            answers.append(await scene.ask(said(b"Q.DO", terms, body=LONG)))
+            answers.append(await scene.ask(request_bytes(b"Q.DO", terms, body=LONG)))
 
         async with anyio.create_task_group() as group:
             for _ in range(3):
@@ -128,7 +128,7 @@
         assert all(answers), "a request without its final answer"
         await still_serves(scene)
 
-    play(told(known=known(standin)), act, standin)
+    run_node(make_deployment(known=known_servers(standin)), act, standin)
 
 
 def test_a_wake_up_that_comes_a_little_early_is_set_anew() -> None:
@@ -165,7 +165,7 @@
 
 
 def dispatcher_alone() -> Dispatcher:
-    dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0))
+    dispatcher = Dispatcher(make_deployment(), Clock(), Log("n", 9.0))
     dispatcher.fleet = Mock()
     return dispatcher
 
@@ -243,7 +243,7 @@
 
         async def ask() -> None:
             await anyio.sleep(0.3)  # before the time to take connections is over, and while none can be
-            answers.append(await scene.ask(said()))
+            answers.append(await scene.ask(request_bytes()))
 
         scene.node.leave()
         async with anyio.create_task_group() as group:
@@ -254,7 +254,7 @@
     errors = [errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.ENETUNREACH]
     while errors:
         standin = server()
-        play(told(known=known(standin)), act, standin)
+        run_node(make_deployment(known=known_servers(standin)), act, standin)
 
 
 def test_a_client_that_has_just_come_stays_though_accept_fails_for_a_moment(
@@ -271,14 +271,14 @@
                 waiting = await scene.connect()
                 await anyio.sleep(0.1)
             for sock in (first, second, waiting):
-                sock.sendall(said())
-                assert await scene.hear(sock, until=1) == HI
+                sock.sendall(request_bytes())
+                assert await scene.receive(sock, until=1) == HI
             waiting.close()
 
     errors = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EPROTO]
     while errors:
         standin = server()
-        play(told(known=known(standin)), act, standin)
+        run_node(make_deployment(known=known_servers(standin)), act, standin)
 
 
 def test_a_client_is_answered_though_reads_and_writes_fail_for_a_moment(
@@ -289,31 +289,33 @@
         for error in (errno.ENOBUFS, errno.ENOMEM, errno.EHOSTUNREACH, errno.ETIMEDOUT):
             with await scene.connect() as sock:
                 standin.gate = anyio.Event()
-                sock.sendall(said())
-                await until(lambda: bool(standin.heard))
+                sock.sendall(request_bytes())
+                await wait_until(lambda: bool(standin.received))
                 sock.sendall(array(b"PING"))  # something to read while reading fails
                 async with anyio.create_task_group() as group:
                     group.start_soon(calls.for_a_moment, error, 0.1)
                     await anyio.sleep(0.05)
                     standin.gate.set()
-                assert await scene.hear(sock, until=2) == HI + b"+PONG\r\n", error
-            standin.heard.clear()
+                assert await scene.receive(sock, until=2) == HI + b"+PONG\r\n", error
+            standin.received.clear()
 
     standin = server()
-    play(told(known=known(standin)), act, standin)
+    run_node(make_deployment(known=known_servers(standin)), act, standin)
 
 
 def test_commands_that_were_read_get_an_answer_before_the_end_of_a_leave() -> None:
-    standin = silent()
+    standin = silent_server()
 
     async def act(scene: Scene) -> None:
         with await scene.connect() as sock:
-            sock.sendall(said() + said() + said())
-            await until(lambda: bool(standin.heard))
+            sock.sendall(request_bytes() + request_bytes() + request_bytes())
+            await wait_until(lambda: bool(standin.received))
             scene.node.leave()
-            assert answers_in(await scene.hear(sock)) == 3
+            assert count_answers(await scene.receive(sock)) == 3
 
-    play(told(known=known(standin), bounds=Bounds(pipelined=1, finish_s=0.8)), act, standin)
+    run_node(
+        make_deployment(known=known_servers(standin), bounds=Bounds(pipelined=1, finish_s=0.8)), act, standin
+    )
 
 
 def test_the_counter_goes_on_where_no_socket_can_be_had_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -329,7 +331,7 @@
     monkeypatch.setattr(counter_module, "tcp_socket", failing_once)
     heard, standin = list[str](), Standin(lambda words: b"ok 1\r\n" * words.count(b"\r\n") or b"")
     owner = Mock(counted=lambda _name, outcome, *_: heard.append(outcome))
-    owner.post = AsyncMock(side_effect=lambda call, *args: call(*args))
+    owner.enqueue = AsyncMock(side_effect=lambda call, *args: call(*args))
 
     async def act() -> None:
         counter = counter_module.Counter(
@@ -339,9 +341,9 @@
             group.start_soon(standin.run)
             group.start_soon(counter.run)
             assert counter.add(7, 1.0, 60.0)
-            await until(lambda: heard == ["unreachable"])
+            await wait_until(lambda: heard == ["unreachable"])
             assert counter.add(7, 1.0, 60.0)
-            await until(lambda: heard == ["unreachable", "ok"])
+            await wait_until(lambda: heard == ["unreachable", "ok"])
             group.cancel_scope.cancel()
 
     anyio.run(act)
@@ -360,18 +362,18 @@
         assert standin.gate is not None
         terms = b"c=order,t=plan,d=1500,k=key,units=1,spread=1,first=0"
         with await scene.connect() as sock:
-            sock.sendall(said())
-            await until(lambda: len(standin.heard) == 1)
+            sock.sendall(request_bytes())
+            await wait_until(lambda: len(standin.received) == 1)
             for _ in range(8):
                 await anyio.wait_writable(sock)
                 with suppress(BlockingIOError):
-                    sock.sendall(said(b"Q.DO", terms, body=LONG))
+                    sock.sendall(request_bytes(b"Q.DO", terms, body=LONG))
         await anyio.sleep(0.12)  # behind its close
         standin.gate.set()
         await anyio.sleep(0.2)
-        assert len(standin.heard) == 1
+        assert len(standin.received) == 1
 
-    play(told(known=known(standin), bounds=Bounds(pipelined=1)), act, standin)
+    run_node(make_deployment(known=known_servers(standin), bounds=Bounds(pipelined=1)), act, standin)
 
 
 # A server in slow start.
@@ -381,7 +383,7 @@
 
 def spend(at: Gateway, now: float) -> int:
     """Send the cold server all that may be sent now; gives how much that was."""
-    handle, before = take(at, next(IDS), now=now), len(at.results.sends)
+    handle, before = take(at, next(REQUEST_IDS), now=now), len(at.results.sends)
     server = at.servers["cold"]
     while at._cold_room(now, server):
         at._send(now, handle, server)
@@ -443,11 +445,11 @@
         monkeypatch.setattr(Submission, "ended", failing)
         terms = b"c=pay,t=plan,d=300,units=1,spread=1,first=0"
         began = time.monotonic()
-        answer = await scene.ask(said(b"Q.DO", terms))
+        answer = await scene.ask(request_bytes(b"Q.DO", terms))
         assert answer.startswith(b"-ERR") and time.monotonic() - began < 0.3 + 0.5
 
     standin = server(b"-ERR failed\r\n")
-    play(told(known=known(standin)), act, standin)
+    run_node(make_deployment(known=known_servers(standin)), act, standin)
 
 
 def test_a_file_that_was_half_written_at_a_hangup_is_taken_up_when_it_is_whole(tmp_path: Path) -> None:
@@ -586,11 +588,11 @@
 
     async def act() -> None:
         old, new = ("127.0.0.1", 1), ("127.0.0.1", 2)
-        owner = Mock(post=AsyncMock(side_effect=blocked))
+        owner = Mock(enqueue=AsyncMock(side_effect=blocked))
         discovery = Discovery(old, 3, Bounds(), owner, chance, Log("n", 9.0))
         async with anyio.create_task_group() as group:
-            group.start_soon(discovery._take, listing(silent(), index=4).partition(b"\r\n\r\n")[2])
-            await until(lambda: owner.post.called)
+            group.start_soon(discovery._take, listing(silent_server(), index=4).partition(b"\r\n\r\n")[2])
+            await wait_until(lambda: owner.enqueue.called)
             discovery.move(new)
             release.set()
         assert discovery.version is None
@@ -684,18 +686,18 @@
         with monkeypatch.context() as patched:
             patched.setattr(anyio, "wait_readable", failing_wait)
             with await scene.connect() as sock:
-                sock.sendall(said())
-                assert await scene.hear(sock, until=1) == HI
+                sock.sendall(request_bytes())
+                assert await scene.receive(sock, until=1) == HI
         for name in ("close", "shutdown"):
             with monkeypatch.context() as patched:
                 patched.setattr(socket.socket, name, failing(name))
-                heard = await scene.ask(said(), array(b"QUIT"), until=2)
+                heard = await scene.ask(request_bytes(), array(b"QUIT"), until=2)
                 assert heard == HI + b"+OK\r\n"
                 await anyio.sleep(0.1)
         await still_serves(scene)
         assert not failures
 
-    play(told(known=known(standin), bounds=Bounds(linger_s=0.05)), act, standin)
+    run_node(make_deployment(known=known_servers(standin), bounds=Bounds(linger_s=0.05)), act, standin)
 
 
 def ports_of(sock: socket.socket) -> tuple[int, int]:
@@ -723,12 +725,12 @@
     async def act(scene: Scene) -> None:
         monkeypatch.setattr(Request, "__init__", failing_second)
         with await scene.connect() as sock:
-            sock.sendall(said() + said() + said())
-            heard = await scene.hear(sock, until=3)
+            sock.sendall(request_bytes() + request_bytes() + request_bytes())
+            heard = await scene.receive(sock, until=3)
             assert heard.count(HI) == 2 and b"-ERR" in heard
 
     standin = server()
-    play(told(known=known(standin)), act, standin)
+    run_node(make_deployment(known=known_servers(standin)), act, standin)
 
 
 def test_a_small_server_in_slow_start_gets_a_part_by_its_size() -> None:
@@ -759,7 +761,7 @@
                 heard = b""
                 while got := await anyio.to_thread.run_sync(sock.recv, 1 << 16):
                     heard += got
-                    if whole(heard):
+                    if is_complete_command(heard):
                         whole_at.append(time.monotonic())
                         sock.sendall(OK)
 
@@ -771,7 +773,7 @@
 
     async def act(scene: Scene) -> None:
         began = time.monotonic()
-        assert await scene.ask(said(b"Q.DO", terms, body=LONG))
+        assert await scene.ask(request_bytes(b"Q.DO", terms, body=LONG))
         assert all(at - began < 0.15 for at in whole_at)
 
-    play(told(known=known(standin)), act, standin)
+    run_node(make_deployment(known=known_servers(standin)), act, standin)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -13,7 +13,7 @@
 import anyio
 import msgspec
 import pytest
-from helpers import Scene, Standin, known, play, said, told
+from helpers import Scene, Standin, known_servers, make_deployment, request_bytes, run_node
 
 from merlintally.cli.front import front, main
 from merlintally.forms import Faults, explain, read
@@ -134,12 +134,12 @@
 
     async def act(scene: Scene) -> None:
         scene.node.log.style, scene.node.log.follows = Structured("json"), True
-        assert (await scene.ask(said(number=b"00000000000000aa"))).startswith(b"$1")
+        assert (await scene.ask(request_bytes(number=b"00000000000000aa"))).startswith(b"$1")
         await anyio.sleep(0.02)
 
     rows = [
         json.loads(line)
-        for line in play(told(known=known(server)), act, server).splitlines()
+        for line in run_node(make_deployment(known=known_servers(server)), act, server).splitlines()
         if line.startswith("{")
     ]
     steps = [row["event"] for row in rows if row.get("submission") == "00000000000000aa"]
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -7,7 +7,18 @@
 from unittest.mock import AsyncMock, Mock, patch
 
 import anyio
-from helpers import HI, Scene, Standin, known, listing, play, said, server, told, until
+from helpers import (
+    HI,
+    Scene,
+    Standin,
+    known_servers,
+    listing,
+    make_deployment,
+    request_bytes,
+    run_node,
+    server,
+    wait_until,
+)
 
 from merlintally.net import EdgeNode
 from merlintally.net.configuration import Bounds, deployment_of
@@ -18,9 +29,9 @@
 def test_a_start_sends_nothing_before_discovery_was_asked_once() -> None:
     """What drained since the list that it was started with counts as told from the first moment on."""
     old, new, heard = server(), server(), list[bytes]()
-    discovery = Standin(lambda heard: listing(new) if len(discovery.heard) == 1 else b"")
-    gone = replace(known(old, old)[1], facts=replace(known(old)[0].facts, server="old"))
-    deployment = told(known=(gone,), discovery=discovery.address)
+    discovery = Standin(lambda heard: listing(new) if len(discovery.received) == 1 else b"")
+    gone = replace(known_servers(old, old)[1], facts=replace(known_servers(old)[0].facts, server="old"))
+    deployment = make_deployment(known=(gone,), discovery=discovery.address)
     deployment = replace(deployment, facts=replace(deployment.facts, drain_grace=5.0))
 
     async def act() -> None:
@@ -31,30 +42,32 @@
                 group.start_soon(standin.run)
             with socket.create_connection(node.address) as sock:
                 sock.setblocking(False)
-                sock.sendall(said())
+                sock.sendall(request_bytes())
                 group.start_soon(node.serve)
-                await until(lambda: bool(discovery.heard))
+                await wait_until(lambda: bool(discovery.received))
                 await anyio.sleep(0.1)  # only a node that does not wait needs it, to show that it doesn't
                 discovery.gate.set()
-                heard.append(await Scene(node).hear(sock, until=1))
+                heard.append(await Scene(node).receive(sock, until=1))
             group.cancel_scope.cancel()
 
     anyio.run(act)
-    assert heard == [HI] and not old.heard and len(new.heard) == 1
+    assert heard == [HI] and not old.received and len(new.received) == 1
 
 
 def test_a_list_without_a_length_that_is_reset_on_the_way_is_not_taken() -> None:
     """It was taken as ended by the reset: half a list, of which the rest was held to be gone."""
     old, new = server(), server()
     discovery = Standin(lambda heard: b"HTTP/1.1 200 OK\r\n\r\n" + listing(new).split(b"\r\n\r\n")[1])
-    discovery.breaks_off = True
+    discovery.resets_connections = True
 
     async def act(scene: Scene) -> None:
-        await until(lambda: discovery.ends >= 1)
-        assert await scene.ask(said()) == HI
+        await wait_until(lambda: discovery.closed_connections >= 1)
+        assert await scene.ask(request_bytes()) == HI
 
-    log = play(told(known=known(old), discovery=discovery.address), act, old, new, discovery)
-    assert len(old.heard) == 1 and not new.heard and "reset" in log
+    log = run_node(
+        make_deployment(known=known_servers(old), discovery=discovery.address), act, old, new, discovery
+    )
+    assert len(old.received) == 1 and not new.received and "reset" in log
 
 
 def test_an_answer_of_an_older_version_takes_no_drain_back() -> None:
@@ -73,17 +86,17 @@
     discovery = Standin(say)
 
     async def act(scene: Scene) -> None:
-        await until(lambda: len(asked) == 3)
+        await wait_until(lambda: len(asked) == 3)
         for _ in range(6):
-            assert await scene.ask(said()) == HI
+            assert await scene.ask(request_bytes()) == HI
 
-    log = play(told(discovery=discovery.address), act, old, new, discovery)
-    assert not old.heard and new.heard and "older" in log and asked[2] == b"/v1/servers"
+    log = run_node(make_deployment(discovery=discovery.address), act, old, new, discovery)
+    assert not old.received and new.received and "older" in log and asked[2] == b"/v1/servers"
 
 
 def test_an_answer_that_crosses_a_move_of_discovery_is_not_taken() -> None:
     """Versions at the new address are others: an old answer's hid what the new one had to tell."""
-    dispatcher = Mock(post=AsyncMock())
+    dispatcher = Mock(enqueue=AsyncMock())
 
     async def get(discovery: Discovery, *call: object) -> bytes:
         discovery.move(("127.0.0.1", 2))
@@ -96,7 +109,7 @@
 
     with patch("merlintally.net.discovery.connect", AsyncMock()), patch.object(Discovery, "_get", get):
         assert anyio.run(follow) is None
-    assert not dispatcher.post.called
+    assert not dispatcher.enqueue.called
 
 
 def test_an_agent_of_the_machine_that_is_silent_is_not_asked_ever_less() -> None:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,7 +7,7 @@
 
 import anyio
 import pytest
-from helpers import Scene, Standin, known, play, told
+from helpers import Scene, Standin, known_servers, make_deployment, run_node
 
 from merlintally.forms import Faults
 from merlintally.load.profile import CustomerLoad, LaneLoad, Profile, read_profile
@@ -104,7 +104,7 @@
         assert sum(summary["outcomes"].values()) == len(list(schedule(SMALL)))  # type: ignore[attr-defined]
         assert summary["outcomes"]["delivered"] > 20  # type: ignore[index]
 
-    play(told(known=known(server)), act, server)
+    run_node(make_deployment(known=known_servers(server)), act, server)
 
 
 def test_what_is_not_a_node_or_not_here_is_refused() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,17 +18,17 @@
 import anyio
 import pytest
 from helpers import (
-    NOTHING,
+    NO_FIGURES,
     OK,
     Scene,
     Standin,
-    known,
+    is_complete_command,
+    known_servers,
     listing,
-    play,
-    said,
+    make_deployment,
+    request_bytes,
+    run_node,
     server,
-    told,
-    whole,
 )
 
 from merlintally.choice import Gateway, Submission
@@ -53,9 +53,9 @@
     backend, answers = server(answer), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        answers.append(await scene.ask(*(chunks or (said(),))))
+        answers.append(await scene.ask(*(chunks or (request_bytes(),))))
 
-    play(told(known=known(backend)), act, backend)
+    run_node(make_deployment(known=known_servers(backend)), act, backend)
     return answers[0]
 
 
@@ -64,7 +64,7 @@
 
 
 def test_a_command_may_arrive_in_pieces_or_byte_by_byte() -> None:
-    raw = said()
+    raw = request_bytes()
     assert received_by_client(OK, raw[:7], raw[7:60], raw[60:]) == b"$2\r\nhi\r\n"
     assert (
         received_by_client(OK, *(raw[position : position + 1] for position in range(len(raw))))
@@ -74,12 +74,12 @@
 
 def test_a_value_of_64_kib_is_delivered() -> None:
     value = bulk(b"v" * 65536)
-    assert received_by_client(b"*3\r\n" + value + NOTHING) == value
+    assert received_by_client(b"*3\r\n" + value + NO_FIGURES) == value
 
 
 def test_a_request_that_may_have_run_is_not_bounced_unless_harmless() -> None:
     """A bounce promises that a retry is safe, which does not hold after an attempt that may have run."""
-    payment = said(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0")
+    payment = request_bytes(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0")
     assert received_by_client(None, payment).startswith(b"-ERR")
     assert received_by_client(b"-ERR failed\r\n", payment).startswith(b"-ERR")
     assert received_by_client(b"+nonsense\r\n", payment).startswith(b"-ERR")
@@ -88,29 +88,31 @@
 
 def test_a_truncated_answer_is_never_delivered() -> None:
     """Wherever the connection is reset, the request is given up, since it may have run."""
-    payment, answers = said(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0"), list[bytes]()
+    payment, answers = request_bytes(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0"), list[bytes]()
 
     async def act(scene: Scene) -> None:
         answers.append(await scene.ask(payment))
 
     for stop in (1, 5, 9, 11, len(OK) - 1):
         backend = server(OK[:stop])
-        backend.breaks_off = True
-        play(told(known=known(backend)), act, backend)
+        backend.resets_connections = True
+        run_node(make_deployment(known=known_servers(backend)), act, backend)
     assert answers == [b"-ERR given up\r\n"] * 5
 
 
 def test_an_attempt_whose_answer_stalls_ends_early_and_is_retried() -> None:
     """Otherwise an incomplete answer would occupy a connection until the hard limit."""
     answers = iter([OK[:9], OK])
-    backend = Standin(lambda data: next(answers) if whole(data) else b"")
+    backend = Standin(lambda data: next(answers) if is_complete_command(data) else b"")
 
     async def act(scene: Scene) -> None:
         began = anyio.current_time()
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
         assert anyio.current_time() - began < 0.8
 
-    assert "stopped short" in play(told(known=known(backend), bounds=Bounds(stall_s=0.1)), act, backend)
+    assert "stopped short" in run_node(
+        make_deployment(known=known_servers(backend), bounds=Bounds(stall_s=0.1)), act, backend
+    )
 
 
 def test_pipelined_commands_are_answered_in_order() -> None:
@@ -119,28 +121,37 @@
 
     async def act(scene: Scene) -> None:
         answers.append(
-            await scene.ask(said() + array(b"PING") + said() + array(b"nap") + said(terms=b"c=nap"), until=5)
+            await scene.ask(
+                request_bytes()
+                + array(b"PING")
+                + request_bytes()
+                + array(b"nap")
+                + request_bytes(terms=b"c=nap"),
+                until=5,
+            )
         )
 
-    play(told(known=known(backend)), act, backend)
+    run_node(make_deployment(known=known_servers(backend)), act, backend)
     lines = answers[0].split(b"\r\n")
     assert [line[:4] for line in lines] == [b"$2", b"hi", b"+PON", b"$2", b"hi", b"-ERR", b"-ERR", b""]
 
 
 def test_a_framing_error_is_answered_after_earlier_commands_and_the_connection_closed() -> None:
-    assert received_by_client(OK, said() + b"rubbish\r\n" + said()).startswith(b"$2\r\nhi\r\n")
+    assert received_by_client(OK, request_bytes() + b"rubbish\r\n" + request_bytes()).startswith(
+        b"$2\r\nhi\r\n"
+    )
     backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        answers.append(await scene.ask(said() + b"rubbish\r\n" + said(), until=0))
+        answers.append(await scene.ask(request_bytes() + b"rubbish\r\n" + request_bytes(), until=0))
         answers.append(await scene.ask(b"*5\r\n$5\r\nQ.ASK\r\n$70000\r\n", until=0))
         answers.append(await scene.ask(array(b"PING")))
 
-    log = play(told(known=known(backend)), act, backend)
+    log = run_node(make_deployment(known=known_servers(backend)), act, backend)
     assert answers[0].startswith(b"$2\r\nhi\r\n-ERR Protocol error") and answers[0].count(b"\r\n") == 3
     assert answers[1].startswith(b"-ERR Protocol") and answers[2] == b"+PONG\r\n"
     assert log.count("n: client 127.0.0.1:") == log.count("; its connection is closed") == 2
-    assert b"".join(backend.heard).count(b"Q.ASK") == 1
+    assert b"".join(backend.received).count(b"Q.ASK") == 1
 
 
 def test_a_duplicate_of_an_open_id_is_refused_and_the_open_request_unaffected() -> None:
@@ -149,18 +160,18 @@
 
     async def act(scene: Scene) -> None:
         first = await scene.connect()
-        first.sendall(said(number=b"7"))
+        first.sendall(request_bytes(number=b"7"))
         await anyio.sleep(0.05)
-        answers.append(await scene.ask(said(number=b"7", customer=b"00000000b4d65522")))
-        assert len(backend.heard) == 1
+        answers.append(await scene.ask(request_bytes(number=b"7", customer=b"00000000b4d65522")))
+        assert len(backend.received) == 1
         first.close()
         await anyio.sleep(0.05)
         again = await scene.connect()
-        again.sendall(said(number=b"7"))
+        again.sendall(request_bytes(number=b"7"))
         await anyio.sleep(0.05)
-        assert len(backend.heard) == 2  # the id may be used again when it is no longer open
+        assert len(backend.received) == 2  # the id may be used again when it is no longer open
 
-    play(told(known=known(backend)), act, backend)
+    run_node(make_deployment(known=known_servers(backend)), act, backend)
     assert answers[0].startswith(b"-ERR the id")
 
 
@@ -171,20 +182,20 @@
     async def act(scene: Scene) -> None:
         silent, incomplete, slow, pinging = [await scene.connect() for _ in range(4)]
         usual = await scene.connect()
-        incomplete.sendall(said()[:40])
+        incomplete.sendall(request_bytes()[:40])
         for count in range(20):
             with suppress(OSError):
                 slow.sendall(b"*4\r\n$5\r\nQ.ASK\r\n$16\r\n"[count : count + 1])
                 pinging.sendall(array(b"PING"))
             if count % 4 == 0:
-                usual.sendall(said())
+                usual.sendall(request_bytes())
             await anyio.sleep(0.06)
-        assert await scene.hear(usual, until=5) == b"$2\r\nhi\r\n" * 5
+        assert await scene.receive(usual, until=5) == b"$2\r\nhi\r\n" * 5
         for sock in (silent, incomplete, slow, pinging):
             with anyio.fail_after(0.1):
-                await scene.hear(sock)
+                await scene.receive(sock)
 
-    log = play(told(known=known(backend), bounds=bounds), act, backend)
+    log = run_node(make_deployment(known=known_servers(backend), bounds=bounds), act, backend)
     lines = [line.split(" with no complete command in time") for line in log.splitlines()]
     closed = [int(line[0].split()[-1]) for line in lines if len(line) == 2]
     assert sum(closed) == 4 and "client 127.0.0.1 " in log
@@ -198,12 +209,12 @@
         for nonsense, errors in ((array(b"NAP"), 8), (b"*0\r\n", 0)):
             assert (await scene.ask(nonsense * 300, until=0)).count(b"-ERR") == errors
         began = anyio.current_time()
-        answers.append(await scene.ask(said(terms=b"c=nap") * 300))
+        answers.append(await scene.ask(request_bytes(terms=b"c=nap") * 300))
         assert anyio.current_time() - began < 0.5
-        answers.append(await scene.ask(said(terms=b"c=nap") * 300, until=0))
+        answers.append(await scene.ask(request_bytes(terms=b"c=nap") * 300, until=0))
         assert anyio.current_time() - began > 0.12
 
-    log = play(told(bounds=Bounds(faults=8, fault_pause_s=0.02)), act)
+    log = run_node(make_deployment(bounds=Bounds(faults=8, fault_pause_s=0.02)), act)
     assert log.count("8 invalid commands in a row") == 3
     assert answers[0].startswith(b"-ERR") and answers[1].count(b"-ERR") == 8
 
@@ -223,7 +234,7 @@
         assert sent < 30_000_000 and anyio.current_time() - began < 1.5
         assert await scene.ask(array(b"PING")) == b"+PONG\r\n"
 
-    play(told(), act)
+    run_node(make_deployment(), act)
 
 
 def test_a_request_refused_by_an_app_server_is_not_retried_nor_counted_against_the_server() -> None:
@@ -236,11 +247,11 @@
         real(self, now, number, outcome, *rest)
 
     async def act(scene: Scene) -> None:
-        assert (await scene.ask(said())).startswith(b"-ERR refused")
+        assert (await scene.ask(request_bytes())).startswith(b"-ERR refused")
 
     with patch.object(Submission, "ended", ended):
-        play(told(known=known(backend)), act, backend)
-    assert ends == [("withdrawn", True)] and len(backend.heard) == 1
+        run_node(make_deployment(known=known_servers(backend)), act, backend)
+    assert ends == [("withdrawn", True)] and len(backend.received) == 1
 
 
 def test_an_attempt_is_cancelled_when_its_client_disconnects() -> None:
@@ -248,14 +259,14 @@
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
-        sock.sendall(said())
+        sock.sendall(request_bytes())
         await anyio.sleep(0.1)
-        before = backend.ends
+        before = backend.closed_connections
         sock.close()
         await anyio.sleep(0.1)
-        assert (len(backend.heard), before, backend.ends) == (1, 0, 1)
+        assert (len(backend.received), before, backend.closed_connections) == (1, 0, 1)
 
-    play(told(known=known(backend)), act, backend)
+    run_node(make_deployment(known=known_servers(backend)), act, backend)
 
 
 def test_a_silent_app_server_is_given_up_at_the_hard_limit_and_its_connection_closed() -> None:
@@ -263,12 +274,14 @@
 
     async def act(scene: Scene) -> None:
         began = anyio.current_time()
-        answers.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=300,units=1,spread=1,first=0")))
+        answers.append(
+            await scene.ask(request_bytes(b"Q.DO", b"c=pay,t=plan,d=300,units=1,spread=1,first=0"))
+        )
         assert 0.2 < anyio.current_time() - began < 0.36
         await anyio.sleep(0.05)
-        assert backend.ends == 1
+        assert backend.closed_connections == 1
 
-    play(told(known=known(backend)), act, backend)
+    run_node(make_deployment(known=known_servers(backend)), act, backend)
     assert answers[0].startswith(b"-ERR")
 
 
@@ -278,25 +291,27 @@
 
     async def act(scene: Scene) -> None:
         for _ in range(5):
-            assert await scene.ask(said()) == b"$2\r\nhi\r\n"
+            assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
             await anyio.sleep(0.02)
-        before = backend.ends
+        before = backend.closed_connections
         await anyio.sleep(2.3)
-        assert (before, backend.ends, len(backend.heard)) == (0, 1, 5)
+        assert (before, backend.closed_connections, len(backend.received)) == (0, 1, 5)
 
-    play(told(known=known(backend), idle_close=2.0), act, backend)
+    run_node(make_deployment(known=known_servers(backend), idle_close=2.0), act, backend)
 
 
 def test_nothing_is_written_to_a_connection_closed_by_its_server() -> None:
     answers = iter([OK, None, OK])
-    backend = Standin(lambda data: next(answers) if whole(data) else b"")
+    backend = Standin(lambda data: next(answers) if is_complete_command(data) else b"")
 
     async def act(scene: Scene) -> None:
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"  # harmless: retried after the broken connection
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
+        assert (
+            await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
+        )  # harmless: retried after the broken connection
 
-    play(told(known=known(backend)), act, backend)
-    assert len(backend.heard) == 3
+    run_node(make_deployment(known=known_servers(backend)), act, backend)
+    assert len(backend.received) == 3
 
 
 def test_a_connection_is_not_reused_immediately_after_an_answer() -> None:
@@ -304,12 +319,12 @@
     backend = server()
 
     async def act(scene: Scene) -> None:
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n" and backend.accepted == 2
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n" and backend.accepted == 2
         await anyio.sleep(0.25)
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n" and backend.accepted == 2
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n" and backend.accepted == 2
 
-    play(told(known=known(backend), bounds=Bounds(rest_s=0.2)), act, backend)
+    run_node(make_deployment(known=known_servers(backend), bounds=Bounds(rest_s=0.2)), act, backend)
 
 
 def test_a_refused_connection_counts_as_not_run() -> None:
@@ -318,9 +333,11 @@
     answers = list[bytes]()
 
     async def act(scene: Scene) -> None:
-        answers.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=400,units=1,spread=1,first=0")))
+        answers.append(
+            await scene.ask(request_bytes(b"Q.DO", b"c=pay,t=plan,d=400,units=1,spread=1,first=0"))
+        )
 
-    play(told(known=known(gone)), act)
+    run_node(make_deployment(known=known_servers(gone)), act)
     assert answers[0].startswith(b"-BUSY")
 
 
@@ -340,11 +357,13 @@
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(0.4)
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
 
-    log = play(told(known=known(old, old), discovery=discovery.address), act, discovery, new)
+    log = run_node(
+        make_deployment(known=known_servers(old, old), discovery=discovery.address), act, discovery, new
+    )
     assert requests[:2] == [b"/v1/servers"] * 2 and requests[2].startswith(b"/v1/servers?since=1&timeout_ms=")
-    assert not old.heard and len(new.heard) == 1 and "discovery" in log
+    assert not old.received and len(new.received) == 1 and "discovery" in log
 
 
 def test_silent_discovery_is_polled_from_the_version_held() -> None:
@@ -359,9 +378,11 @@
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(0.6)
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
 
-    play(told(discovery=discovery.address, bounds=bounds, known_index=3), act, discovery, backend)
+    run_node(
+        make_deployment(discovery=discovery.address, bounds=bounds, known_index=3), act, discovery, backend
+    )
     assert b"since=3" in requests[0]  # a node starts from the version of the list in its configuration
     # After a silent watch the node polls with short waits until there is an answer.
     assert requests[1] == b"/v1/servers?since=7&timeout_ms=100"
@@ -382,8 +403,8 @@
         await anyio.sleep(1.7)
 
     with patch("merlintally.net.discovery.TOLD_S", 2.0):
-        play(
-            told(discovery=discovery.address, bounds=Bounds(watch_s=0.4, answer_s=3.0)),
+        run_node(
+            make_deployment(discovery=discovery.address, bounds=Bounds(watch_s=0.4, answer_s=3.0)),
             act,
             discovery,
             backend,
@@ -406,10 +427,10 @@
 
     async def act(scene: Scene) -> None:
         await anyio.sleep(1.5)
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
 
     discovery = Standin(respond)
-    play(told(discovery=discovery.address, bounds=bounds), act, discovery, backend)
+    run_node(make_deployment(discovery=discovery.address, bounds=bounds), act, discovery, backend)
     return requests, [later - one for one, later in zip(times, times[1:], strict=False)]
 
 
@@ -436,7 +457,9 @@
         await anyio.sleep(2.0)
 
     discovery = Standin(respond)
-    play(told(discovery=discovery.address, bounds=Bounds(spared_s=0.3)), act, discovery, backend)
+    run_node(
+        make_deployment(discovery=discovery.address, bounds=Bounds(spared_s=0.3)), act, discovery, backend
+    )
     gaps = [later - one for one, later in zip(times, times[1:], strict=False)]
     assert len(gaps) >= 5 and max(gaps[2:5]) < 0.14 < gaps[0]
 
@@ -444,7 +467,7 @@
 def answers_with_counter(respond: object, *requests: bytes) -> list[bytes]:
     """Return the answers to requests made one after another, with a counter that answers by `respond`."""
     backend, counter = server(), Standin(respond)  # type: ignore[arg-type]
-    deployment = told(known=known(backend), counter=counter.address)
+    deployment = make_deployment(known=known_servers(backend), counter=counter.address)
     facts = replace(deployment.facts, may_count=True, gateways=2, count_time_out=0.08)
     answers = list[bytes]()
 
@@ -452,13 +475,13 @@
         for one in requests:
             answers.append(await scene.ask(one))
 
-    play(replace(deployment, facts=facts), act, backend, counter)
-    assert counter.heard and counter.heard[0].startswith(b"tally ")
+    run_node(replace(deployment, facts=facts), act, backend, counter)
+    assert counter.received and counter.received[0].startswith(b"tally ")
     return answers
 
 
 ASKED_TERMS = b"c=look,t=plan,d=1500,units=2,spread=2,first=0"
-ASKED = said(terms=ASKED_TERMS)
+ASKED = request_bytes(terms=ASKED_TERMS)
 
 
 def test_the_total_of_the_counter_decides_and_waiting_for_it_is_bounded() -> None:
@@ -478,7 +501,7 @@
     backend, new_at = server(), server()
     old, new = Standin(lambda data: b""), Standin(lambda data: b"ok 2\r\n")
     discovery = Standin(lambda data: listing(new_at, index=1) if b"since" not in data else b"")
-    deployment = told(known=known(backend), counter=old.address)
+    deployment = make_deployment(known=known_servers(backend), counter=old.address)
     facts = replace(deployment.facts, may_count=True, gateways=2, count_time_out=0.15)
     deployment, answers = replace(deployment, facts=facts), list[bytes]()
 
@@ -487,19 +510,19 @@
         early.sendall(ASKED)
         await anyio.sleep(0.05)
         scene.node.reload(replace(deployment, counter=new.address, discovery=discovery.address))
-        answers.append(await scene.ask(said(terms=ASKED_TERMS, customer=b"00000000b4d65522")))
-        answers.append(await scene.hear(early, until=1))
+        answers.append(await scene.ask(request_bytes(terms=ASKED_TERMS, customer=b"00000000b4d65522")))
+        answers.append(await scene.receive(early, until=1))
         await anyio.sleep(0.2)
-        answers.append(await scene.ask(said(terms=ASKED_TERMS, customer=b"00000000b4d65523")))
+        answers.append(await scene.ask(request_bytes(terms=ASKED_TERMS, customer=b"00000000b4d65523")))
 
-    play(deployment, act, backend, new_at, old, new, discovery)
-    assert answers == [b"$2\r\nhi\r\n"] * 3 and len(old.heard) == 1 and len(new.heard) >= 2
-    assert not any(call in b"".join(new.heard) for call in old.heard) and new_at.heard
+    run_node(deployment, act, backend, new_at, old, new, discovery)
+    assert answers == [b"$2\r\nhi\r\n"] * 3 and len(old.received) == 1 and len(new.received) >= 2
+    assert not any(call in b"".join(new.received) for call in old.received) and new_at.received
 
 
 @pytest.mark.parametrize("text", [None, '{"name"', '{"discovery": 7}'])
 def test_an_invalid_new_configuration_leaves_the_old_one_in_force(text: str | None, tmp_path: Path) -> None:
-    path, log_text, node = tmp_path / "config.json", io.StringIO(), EdgeNode(told())
+    path, log_text, node = tmp_path / "config.json", io.StringIO(), EdgeNode(make_deployment())
     node.log = Log("n", 9.0, log_text)
     if text is not None:
         path.write_text(text)
@@ -540,20 +563,24 @@
 
     async def act(scene: Scene) -> None:
         idle = [await scene.connect() for _ in range(60)]
-        assert await scene.ask(said()) == b"$2\r\nhi\r\n"
+        assert await scene.ask(request_bytes()) == b"$2\r\nhi\r\n"
         for sock in idle:
             sock.close()
 
-    play(told(known=known(backend), sockets=64), act, backend)
+    run_node(make_deployment(known=known_servers(backend), sockets=64), act, backend)
 
 
 def test_a_full_queue_delays_requests_and_loses_none() -> None:
     backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        answers.append(await scene.ask(*(said() for _ in range(60)), until=60))
+        answers.append(await scene.ask(*(request_bytes() for _ in range(60)), until=60))
 
-    play(told(known=known(backend), memory=1000, bounds=Bounds(queue=1, pipelined=3)), act, backend)
+    run_node(
+        make_deployment(known=known_servers(backend), memory=1000, bounds=Bounds(queue=1, pipelined=3)),
+        act,
+        backend,
+    )
     assert answers[0] == b"$2\r\nhi\r\n" * 60
 
 
@@ -562,11 +589,11 @@
 
     async def act(scene: Scene) -> None:
         first = await scene.connect()
-        first.sendall(said())
+        first.sendall(request_bytes())
         await anyio.sleep(0.05)
-        answers.append(await scene.ask(said()))
+        answers.append(await scene.ask(request_bytes()))
 
-    play(told(known=known(backend), most_open=1), act, backend)
+    run_node(make_deployment(known=known_servers(backend), most_open=1), act, backend)
     assert answers[0] == b"-BUSY\r\n"
 
 
@@ -577,16 +604,16 @@
     async def act(scene: Scene) -> None:
         idle, early = await scene.connect(), await scene.connect()
         scene.node.leave()
-        early.sendall(said(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0"))
+        early.sendall(request_bytes(b"Q.DO", b"c=pay,t=plan,d=1500,units=1,spread=1,first=0"))
         await anyio.sleep(0.1)
         late = await scene.connect()
-        late.sendall(said())
-        assert await scene.hear(idle) == b""
-        answers.extend([await scene.hear(early), await scene.hear(late)])
+        late.sendall(request_bytes())
+        assert await scene.receive(idle) == b""
+        answers.extend([await scene.receive(early), await scene.receive(late)])
         await scene.node.phases.reached(Phase.ENDED)
 
-    play(told(known=known(backend), bounds=bounds), act, backend)
-    assert len(backend.heard) == 2 and answers[0].startswith(b"-ERR") and answers[1].startswith(b"-BUSY")
+    run_node(make_deployment(known=known_servers(backend), bounds=bounds), act, backend)
+    assert len(backend.received) == 2 and answers[0].startswith(b"-ERR") and answers[1].startswith(b"-BUSY")
 
 
 @contextmanager
@@ -605,10 +632,12 @@
     gone, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        answers.append(await scene.ask(said(b"Q.DO", b"c=pay,t=plan,d=900,units=1,spread=1,first=0")))
+        answers.append(
+            await scene.ask(request_bytes(b"Q.DO", b"c=pay,t=plan,d=900,units=1,spread=1,first=0"))
+        )
 
     with full_backlog(gone):
-        play(told(known=known(gone), connect_time_out=0.1), act)
+        run_node(make_deployment(known=known_servers(gone), connect_time_out=0.1), act)
     assert answers[0].startswith(b"-BUSY")
 
 
@@ -620,7 +649,7 @@
     async def act(scene: Scene) -> None:
         with full_backlog(old):
             asking = await scene.connect()
-            asking.sendall(said(terms=b"c=look,t=plan,d=2000,units=1,spread=1,first=0"))
+            asking.sendall(request_bytes(terms=b"c=look,t=plan,d=2000,units=1,spread=1,first=0"))
             await anyio.sleep(0.1)
             async with anyio.create_task_group() as group:
                 group.start_soon(discovery.run)
@@ -630,25 +659,27 @@
                 group.cancel_scope.cancel()
             asking.close()
 
-    play(told(known=known(old), discovery=discovery.address, connect_time_out=5.0), act)
-    assert not old.heard
+    run_node(
+        make_deployment(known=known_servers(old), discovery=discovery.address, connect_time_out=5.0), act
+    )
+    assert not old.received
 
 
 def test_a_client_that_does_not_read_does_not_delay_others() -> None:
     """The node stops reading from a client that does not read its answers."""
     value = bulk(b"v" * 65000)
-    backend = server(b"*3\r\n" + value + NOTHING)
+    backend = server(b"*3\r\n" + value + NO_FIGURES)
 
     async def act(scene: Scene) -> None:
         slow_reader = await scene.connect()
         slow_reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         with suppress(BlockingIOError):
-            slow_reader.sendall(b"".join(said() for _ in range(4000)))
+            slow_reader.sendall(b"".join(request_bytes() for _ in range(4000)))
         await anyio.sleep(0.3)
-        assert await scene.ask(said()) == value
+        assert await scene.ask(request_bytes()) == value
         slow_reader.close()
 
-    play(told(known=known(backend)), act, backend)
+    run_node(make_deployment(known=known_servers(backend)), act, backend)
 
 
 def test_unread_answers_count_as_held_memory() -> None:
@@ -685,7 +716,9 @@
     with patch.object(
         Gateway, "noted", lambda self, now, peer, payload: received_notes.append((peer, payload))
     ):
-        log = play(told(peer_listen=("127.0.0.1", 0), peers=(("127.0.0.1", 9), ours.getsockname())), act)
+        log = run_node(
+            make_deployment(peer_listen=("127.0.0.1", 0), peers=(("127.0.0.1", 9), ours.getsockname())), act
+        )
     ours.close()
     stranger.close()
     assert received_notes == [(1, b"a" * 256), (1, b"d")] and log.count("is dropped") == 2
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -11,7 +11,7 @@
 from unittest.mock import Mock
 
 import pytest
-from helpers import said, taken, told
+from helpers import make_deployment, parsed_request, request_bytes
 
 from merlintally.fields import Malformed
 from merlintally.net.backoff import Backoff
@@ -35,14 +35,14 @@
 
 def wrong_with(raw: bytes) -> str:
     try:
-        taken(raw)
+        parsed_request(raw)
     except Malformed as wrong:
         return str(wrong)
     return ""
 
 
 def test_a_command_is_whole_only_at_its_last_byte() -> None:
-    raw = said()
+    raw = request_bytes()
     assert all(array_at(bytearray(raw), 0, stop) is None for stop in range(len(raw)))
     found = array_at(bytearray(b"xx" + raw + b"*1"), 2, len(raw) + 4)
     assert found is not None and found[1] == len(raw) + 2
@@ -70,47 +70,52 @@
 
 def test_a_submission_goes_on_unchanged_but_for_the_time_waited() -> None:
     terms = b"t=plan,c=order,d=1500,k=5c0f,x=d=1500,units=2,spread=1,first=0"
-    message = b"".join(taken(said(b"Q.DO", terms, b"d=1500", number=b"7")).message(0.0724))
-    assert message == said(b"Q.DO", terms.replace(b"r,d=1500", b"r,d=72"), b"d=1500", number=b"7")
+    message = b"".join(parsed_request(request_bytes(b"Q.DO", terms, b"d=1500", number=b"7")).message(0.0724))
+    assert message == request_bytes(b"Q.DO", terms.replace(b"r,d=1500", b"r,d=72"), b"d=1500", number=b"7")
 
 
 def test_a_client_waits_no_longer_than_its_lane_allows() -> None:
-    assert taken(said(terms=b"c=look,t=plan,d=900000000,units=1,spread=1,first=0")).deadline == 102.0
-    assert taken(said(terms=b"c=look,t=plan,d=500,units=1,spread=1,first=0")).deadline == 100.5
+    assert (
+        parsed_request(request_bytes(terms=b"c=look,t=plan,d=900000000,units=1,spread=1,first=0")).deadline
+        == 102.0
+    )
+    assert (
+        parsed_request(request_bytes(terms=b"c=look,t=plan,d=500,units=1,spread=1,first=0")).deadline == 100.5
+    )
 
 
 @pytest.mark.parametrize(
     ("wrong", "raw"),
     [
-        ("'c' names no lane", said(terms=b"c=nap,t=plan,d=9,units=1,spread=1,first=0")),
-        ("'c' is missing", said(terms=b"t=plan,d=9,units=1,spread=1,first=0")),
-        ("'t' names no plan", said(terms=b"c=look,t=none,d=9,units=1,spread=1,first=0")),
-        ("'d' is missing", said(terms=b"c=look,t=plan,units=1,spread=1,first=0")),
-        ("'d' is not a whole", said(terms=b"c=look,t=plan,d=9.5,units=1,spread=1,first=0")),
-        ("'d' is no number", said(terms=b"c=look,t=plan,d=-9,units=1,spread=1,first=0")),
-        ("'d' is no number", said(terms=b"c=look,t=plan,d=1_0,units=1,spread=1,first=0")),
-        ("'first' is no number", said(terms=b"c=look,t=plan,d=9,units=1,spread=1,first=1e9")),
-        ("'units' is no number", said(terms=b"c=look,t=plan,d=9,units=nan,spread=1,first=0")),
-        ("above 0", said(terms=b"c=look,t=plan,d=9,units=0,spread=1,first=0")),
-        ("no set", said(terms=b"c=look,t=plan,d=9,units=1,spread=0,first=0")),
-        ("'first' is missing", said(terms=b"c=look,t=plan,d=9,units=1,spread=1")),
-        ("name=value", said(terms=b"c=look,t=plan,d=9,,units=1,spread=1,first=0")),
-        ("name=value", said(terms=b"c=look,c=order,t=plan,d=9,units=1,spread=1,first=0")),
-        ("ASCII", said(terms=b"c=look\xff,t=plan,d=9,units=1,spread=1,first=0")),
-        ("'k' is missing", said(b"Q.DO", b"c=order,t=plan,d=9,units=1,spread=1,first=0")),
-        ("go with the command", said(b"Q.DO")),
-        ("go with the command", said(b"Q.ASK", b"c=pay,t=plan,d=9,units=1,spread=1,first=0")),
-        ("16 hex", said(customer=b"00000000b4d6552x")),
-        ("below 2^33", said(customer=b"0000000200000000")),
-        ("beyond the largest", said(terms=b"c=look,t=plan,d=9,units=7,spread=1,first=0")),
-        ("no set", said(terms=b"c=look,t=plan,d=9,units=1,spread=2,first=0")),
-        ("no set", said(terms=b"c=look,t=plan,d=9,units=1,spread=1,first=1")),
-        ("has 4 words", said().replace(b"*4", b"*5") + b"$4\r\nBODY\r\n"),
+        ("'c' names no lane", request_bytes(terms=b"c=nap,t=plan,d=9,units=1,spread=1,first=0")),
+        ("'c' is missing", request_bytes(terms=b"t=plan,d=9,units=1,spread=1,first=0")),
+        ("'t' names no plan", request_bytes(terms=b"c=look,t=none,d=9,units=1,spread=1,first=0")),
+        ("'d' is missing", request_bytes(terms=b"c=look,t=plan,units=1,spread=1,first=0")),
+        ("'d' is not a whole", request_bytes(terms=b"c=look,t=plan,d=9.5,units=1,spread=1,first=0")),
+        ("'d' is no number", request_bytes(terms=b"c=look,t=plan,d=-9,units=1,spread=1,first=0")),
+        ("'d' is no number", request_bytes(terms=b"c=look,t=plan,d=1_0,units=1,spread=1,first=0")),
+        ("'first' is no number", request_bytes(terms=b"c=look,t=plan,d=9,units=1,spread=1,first=1e9")),
+        ("'units' is no number", request_bytes(terms=b"c=look,t=plan,d=9,units=nan,spread=1,first=0")),
+        ("above 0", request_bytes(terms=b"c=look,t=plan,d=9,units=0,spread=1,first=0")),
+        ("no set", request_bytes(terms=b"c=look,t=plan,d=9,units=1,spread=0,first=0")),
+        ("'first' is missing", request_bytes(terms=b"c=look,t=plan,d=9,units=1,spread=1")),
+        ("name=value", request_bytes(terms=b"c=look,t=plan,d=9,,units=1,spread=1,first=0")),
+        ("name=value", request_bytes(terms=b"c=look,c=order,t=plan,d=9,units=1,spread=1,first=0")),
+        ("ASCII", request_bytes(terms=b"c=look\xff,t=plan,d=9,units=1,spread=1,first=0")),
+        ("'k' is missing", request_bytes(b"Q.DO", b"c=order,t=plan,d=9,units=1,spread=1,first=0")),
+        ("go with the command", request_bytes(b"Q.DO")),
+        ("go with the command", request_bytes(b"Q.ASK", b"c=pay,t=plan,d=9,units=1,spread=1,first=0")),
+        ("16 hex", request_bytes(customer=b"00000000b4d6552x")),
+        ("below 2^33", request_bytes(customer=b"0000000200000000")),
+        ("beyond the largest", request_bytes(terms=b"c=look,t=plan,d=9,units=7,spread=1,first=0")),
+        ("no set", request_bytes(terms=b"c=look,t=plan,d=9,units=1,spread=2,first=0")),
+        ("no set", request_bytes(terms=b"c=look,t=plan,d=9,units=1,spread=1,first=1")),
+        ("has 4 words", request_bytes().replace(b"*4", b"*5") + b"$4\r\nBODY\r\n"),
         (
             "has 5 words",
             array(b"Q.DO", b"00000000b4d65521", b"7", b"c=pay,t=plan,d=9,units=1,spread=1,first=0"),
         ),
-        ("the id is", said(number=b"a b")),
+        ("the id is", request_bytes(number=b"a b")),
     ],
 )
 def test_a_bad_submission_is_refused_by_name(wrong: str, raw: bytes) -> None:
@@ -170,17 +175,17 @@
     """Guards against sends that the decisions hold to be out for good, and a wake-up lost with them: both
     calls come through the queue before what is wanted of the first is done."""
     log = io.StringIO()
-    dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, log))
+    dispatcher = Dispatcher(make_deployment(), Clock(), Log("n", 9.0, log))
     dispatcher.timers = dispatcher.fleet = others = Mock()
     rows = [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]
     dispatcher.listed(page({"index": 1, "endpoints": rows})[2], True)
-    one = taken(said())
+    one = parsed_request(request_bytes())
     one.deadline = dispatcher.clock.now() + 1.0
     dispatcher.take(one)
     assert dispatcher.gateway.out == 1
-    dispatcher.left(one)
+    dispatcher.client_left(one)
     dispatcher.carry_out()
-    assert (dispatcher.gateway.out, dispatcher.open_requests, dispatcher.ids, log.getvalue()) == (
+    assert (dispatcher.gateway.out, dispatcher.open_requests, dispatcher.open_ids, log.getvalue()) == (
         0,
         {},
         set(),
@@ -192,7 +197,7 @@
 def test_a_row_that_fails_takes_no_other_with_it() -> None:
     """Guards against rejections, calls and the wake-up lost behind it."""
     log = io.StringIO()
-    dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, log))
+    dispatcher = Dispatcher(make_deployment(), Clock(), Log("n", 9.0, log))
     dispatcher.timers = dispatcher.counter = others = Mock()
     dispatcher.gateway.results.sends.append((7, "s", 0.0))
     dispatcher.gateway.results.adds.append((5, 1.0, 60.0))
@@ -367,9 +372,13 @@
 
 
 def test_another_configuration_names_what_takes_a_restart() -> None:
-    before = told(counter=("127.0.0.1", 1))
-    assert fixed_changes(before, told(counter=("127.0.0.1", 2), discovery=("127.0.0.1", 3))) == []
-    assert fixed_changes(before, told(name="n1", sockets=64)) == ["name", "limits.sockets", "counter"]
+    before = make_deployment(counter=("127.0.0.1", 1))
+    assert fixed_changes(before, make_deployment(counter=("127.0.0.1", 2), discovery=("127.0.0.1", 3))) == []
+    assert fixed_changes(before, make_deployment(name="n1", sockets=64)) == [
+        "name",
+        "limits.sockets",
+        "counter",
+    ]
 
 
 @pytest.mark.parametrize("environment", [{}, {"LB_CONFIG": "/nowhere/at/all"}, {"LB_CONFIG": __file__}])
@@ -399,36 +408,36 @@
 
 def test_a_server_taken_out_for_work_gets_nothing_new_and_a_parked_node_takes_nothing() -> None:
     log = io.StringIO()
-    dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, log))
+    dispatcher = Dispatcher(make_deployment(), Clock(), Log("n", 9.0, log))
     dispatcher.timers = dispatcher.counter = others = Mock()
-    dispatcher.fleet, dispatcher.shown = others, {}
+    dispatcher.fleet, dispatcher.listed_servers = others, {}
     rows = [{"name": name, "address": "127.0.0.1:9", "group": 0, "status": "SERVING"} for name in ("s", "t")]
     dispatcher.listed(page({"index": 1, "endpoints": rows})[2], True)
-    dispatcher.take_out(frozenset({"s", "unlisted"}))
+    dispatcher.set_servers_in_maintenance(frozenset({"s", "unlisted"}))
     assert presences(dispatcher) == {"s": "draining", "t": "on"}
     dispatcher.listed(page({"index": 2, "endpoints": rows})[2], True)  # discovery lists it as on once more
     assert presences(dispatcher) == {"s": "draining", "t": "on"}
-    dispatcher.take_out(frozenset())
+    dispatcher.set_servers_in_maintenance(frozenset())
     assert presences(dispatcher) == {"s": "on", "t": "on"}
-    dispatcher.right, one = Mock(), Mock(answer=None, gone=False)
-    dispatcher.right.may_take.return_value = False
+    dispatcher.permissions, one = Mock(), Mock(answer=None, client_gone=False)
+    dispatcher.permissions.may_take.return_value = False
     dispatcher.take(one)
     assert (one.answer, dispatcher.open_requests, log.getvalue()) == ([b"-BUSY\r\n"], {}, "")
 
 
 def test_a_send_that_the_right_forbids_by_now_is_no_send() -> None:
     """Guards against a process stopped between its decision and its send, and continued much later."""
-    dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0, io.StringIO()))
-    dispatcher.timers, dispatcher.fleet, dispatcher.right = Mock(), Mock(), Mock()
-    dispatcher.right.may_take.return_value = True
-    dispatcher.right.may_send.return_value = False
+    dispatcher = Dispatcher(make_deployment(), Clock(), Log("n", 9.0, io.StringIO()))
+    dispatcher.timers, dispatcher.fleet, dispatcher.permissions = Mock(), Mock(), Mock()
+    dispatcher.permissions.may_take.return_value = True
+    dispatcher.permissions.may_send.return_value = False
     dispatcher.listed(
         page({"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]})[2],
         True,
     )
-    one = taken(said())
+    one = parsed_request(request_bytes())
     one.deadline = dispatcher.clock.now() + 1.0
     dispatcher.take(one)
     dispatcher.carry_out()
-    assert dispatcher.right.may_send.call_args.args == ("s",) and not dispatcher.fleet.send.called
-    assert one.out == {} and dispatcher.gateway.out == 0
+    assert dispatcher.permissions.may_send.call_args.args == ("s",) and not dispatcher.fleet.send.called
+    assert one.open_attempts == {} and dispatcher.gateway.out == 0
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -10,7 +10,19 @@
 
 import anyio
 import pytest
-from helpers import HI, SERVER, Scene, Standin, gateway, known, listing, said, server, told, until
+from helpers import (
+    HI,
+    SERVER,
+    Scene,
+    Standin,
+    gateway,
+    known_servers,
+    listing,
+    make_deployment,
+    request_bytes,
+    server,
+    wait_until,
+)
 
 from merlintally.forms import Faults
 from merlintally.lab.schedules.subset_options import all_subsets, classes, loads, moved, names_of, spread
@@ -291,11 +303,11 @@
 
 def keeper_of(terms: Terms | None, count: int, shown: bool = False) -> Dispatcher:
     """A dispatcher that has heard a list; what it would do on sockets is kept from it."""
-    deployment = told(subsets=terms)
+    deployment = make_deployment(subsets=terms)
     facts = replace(deployment.facts, number=3, gateways=NODES)
     made = Dispatcher(replace(deployment, facts=facts), Clock(), Log("n", 9.0))
     made.fleet = FleetStandin()  # type: ignore[assignment]
-    made.shown = {} if shown else None
+    made.listed_servers = {} if shown else None
     made.listed([Listed(*entry) for entry in entries(count)], True)
     return made
 
@@ -322,7 +334,7 @@
 def test_off_or_short_the_decisions_know_the_list() -> None:
     for made in (keeper_of(None, 60), keeper_of(USUAL, 60)):
         assert len(made.gateway.servers) == 60 and made.gateway.sharing == NODES
-    strange = told()
+    strange = make_deployment()
     assert subset_of(replace(strange, facts=replace(strange.facts, number=9))) is None
 
 
@@ -330,7 +342,7 @@
     made = keeper_of(SMALL, 60, shown=True)
     assert made.subset is not None
     inside = members(made.subset)
-    made.take_out(frozenset(inside))
+    made.set_servers_in_maintenance(frozenset(inside))
     on = {name for name, one in made.gateway.servers.items() if one.presence == "on"}
     assert len(on) >= SMALL.least and not on & inside
 
@@ -348,7 +360,7 @@
     made.listed([Listed(*one) for one in entries(60) if one.facts.server in inside], False)
     assert set(made.gateway.servers) == grown
     made.subset._shrinks_at = now
-    made._fit_subset()
+    made._resize_subset()
     assert set(made.gateway.servers) == {*inside, busy.name} and busy.presence == "gone"
 
 
@@ -361,20 +373,20 @@
 def test_work_that_waits_while_servers_answer_easily_grows_the_subset() -> None:
     made = keeper_of(SMALL._replace(pressed_s=1e-9), 60)
     before = len(made.gateway.servers)
-    made._fit_subset()
+    made._resize_subset()
     assert len(made.gateway.servers) == before
     next(iter(made.gateway.lines.values())).append(Line())  # type: ignore[arg-type]
-    made._fit_subset()
-    made._fit_subset()
+    made._resize_subset()
+    made._resize_subset()
     assert len(made.gateway.servers) == before  # places are free: it waits for something else
     made.gateway.out = 1000
     made.gateway.strain = 2.0  # the servers answer slowly: it may be so everywhere
-    made._fit_subset()
-    made._fit_subset()
+    made._resize_subset()
+    made._resize_subset()
     assert len(made.gateway.servers) == before
     made.gateway.strain = 1.0
-    made._fit_subset()
-    made._fit_subset()
+    made._resize_subset()
+    made._resize_subset()
     assert len(made.gateway.servers) > before and made.gateway.sharing == 2
 
 
@@ -385,8 +397,8 @@
     standins: Sequence[Standin], terms: Terms, nodes: int, asks: int, act_more: Act | None = None
 ) -> tuple[list[bytes], list[int], list[Dispatcher]]:
     """A node of `nodes` with the stand-ins listed by discovery; how each was heard, and its dispatcher."""
-    discovery = Standin(lambda heard: listing(*standins) if len(discovery.heard) == 1 else b"")
-    deployment = told(known=known(*standins), discovery=discovery.address, subsets=terms)
+    discovery = Standin(lambda heard: listing(*standins) if len(discovery.received) == 1 else b"")
+    deployment = make_deployment(known=known_servers(*standins), discovery=discovery.address, subsets=terms)
     deployment = replace(deployment, facts=replace(deployment.facts, gateways=nodes, number=0))
     heard, dispatchers = list[bytes](), list[Dispatcher]()
 
@@ -400,9 +412,9 @@
             for standin in (*standins, discovery):
                 group.start_soon(standin.run)
             await group.start(node.serve)
-            await until(lambda: bool(dispatchers))
+            await wait_until(lambda: bool(dispatchers))
             for _ in range(asks):
-                heard.append(await Scene(node).ask(said()))
+                heard.append(await Scene(node).ask(request_bytes()))
             if act_more is not None:
                 await act_more(Scene(node), dispatchers[0])
             group.cancel_scope.cancel()
@@ -410,7 +422,7 @@
     anyio.run(act)
     for standin in (*standins, discovery):
         standin.sock.close()
-    return heard, [len(standin.heard) for standin in standins], dispatchers
+    return heard, [len(standin.received) for standin in standins], dispatchers
 
 
 def test_a_node_sends_to_its_subset_alone() -> None:
@@ -441,14 +453,16 @@
         for standin in standins:
             standin.gate = gate
         with await scene.connect() as sock:
-            sock.sendall(said())
-            await until(lambda: any(standin.heard for standin in standins))
-            await dispatcher.post(dispatcher._tell_roster, [], True)
-            sock.sendall(said())
-            await until(lambda: len(dispatcher.open_requests) == 2)
+            sock.sendall(request_bytes())
+            await wait_until(lambda: any(standin.received for standin in standins))
+            await dispatcher.enqueue(dispatcher._apply_roster, [], True)
+            sock.sendall(request_bytes())
+            await wait_until(lambda: len(dispatcher.open_requests) == 2)
             gate.set()
-            answers.append(await scene.hear(sock, until=1))
-            assert sum(len(standin.heard) for standin in standins) == 1 and len(dispatcher.open_requests) == 1
+            answers.append(await scene.receive(sock, until=1))
+            assert (
+                sum(len(standin.received) for standin in standins) == 1 and len(dispatcher.open_requests) == 1
+            )
 
     run_node(standins, terms, 8, 0, act)
     assert answers == [HI]
