--- a/merlintally/cluster/node.py
+++ b/merlintally/cluster/node.py
@@ -35,12 +35,12 @@
 from merlintally.cluster.record import Record
 from merlintally.cluster.work.coordinator import MaintenanceTiming
 from merlintally.cluster.work.state import GRANTED, OUT, RETURNING, limit_of
+from merlintally.net.call_queue import CallQueue
 from merlintally.net.configuration import Address, parse_address
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log
 from merlintally.net.node import EdgeNode
 from merlintally.net.phases import Phase
-from merlintally.net.post import Post
 from merlintally.notes import decode_note, encode_note
 from merlintally.operators import ClusterPart
 
@@ -103,7 +103,7 @@
         self.routes = {
             name: parse_address(endpoint, f"cluster.routes.{name}") for name, endpoint in part.routes.items()
         }
-        self.queue = Post(MAX_QUEUED_CALLS)
+        self.queue = CallQueue(MAX_QUEUED_CALLS)
         self.dispatcher: Dispatcher
         self.links: Links
         self.disk_lock = Lock()
@@ -149,10 +149,10 @@
 
     async def run(self, node: EdgeNode, dispatcher: Dispatcher) -> None:
         """Run next to an edge node until cancelled."""
-        self.dispatcher, dispatcher.right = dispatcher, self
+        self.dispatcher, dispatcher.permissions = dispatcher, self
         if self.settings.copies is not None and dispatcher.peers is None:
             dispatcher.peers = self
-        dispatcher.shown = {entry.facts.server: entry for entry in node.deployment.known}
+        dispatcher.listed_servers = {entry.facts.server: entry for entry in node.deployment.known}
         listen = parse_address(self.part.listen, "cluster.listen")
         self.links = self.links_type(
             self.part.name,
@@ -188,7 +188,7 @@
             group.start_soon(self._update_decisions)
             if self.settings.copies is not None:
                 group.start_soon(self._store_copies)
-            await self.queue.post(lambda: None)
+            await self.queue.enqueue(lambda: None)
             await self.queue.run(self._run_call, self._process_results)
 
     def _run_call(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
@@ -199,7 +199,7 @@
             self.log.say(f"cluster: a call failed: {traceback.format_exc()}", "cluster.failed")
 
     async def _on_message(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
-        await self.queue.post(self._handle_message, sender, call, args)
+        await self.queue.enqueue(self._handle_message, sender, call, args)
 
     def _handle_message(self, sender: str, call: str, args: tuple[Any, ...]) -> None:
         self.core.receive(time.monotonic(), sender, call, args)
@@ -210,14 +210,14 @@
                 await anyio.sleep(max(0.0, self.wake_at - time.monotonic()))
             if time.monotonic() >= self.wake_at:
                 self.wake_at = time.monotonic() + self.part.heartbeat_s
-                await self.queue.post(self._handle_timer)
+                await self.queue.enqueue(self._handle_timer)
 
     def _handle_timer(self) -> None:
         now = time.monotonic()
         if now - self.rates_since > RATE_WINDOW_S:
             self.rates = {pool: count / (now - self.rates_since) for pool, count in self.sent_counts.items()}
             self.sent_counts, self.rates_since = Counter(), now
-        shown, fleet = self.dispatcher.shown or {}, self.dispatcher.fleet
+        shown, fleet = self.dispatcher.listed_servers or {}, self.dispatcher.fleet
         servers = self.core.edge.machines
         turns = self.core.work.turns
         busy = frozenset(
@@ -240,21 +240,21 @@
 
     async def _leave_on_shutdown(self, node: EdgeNode) -> None:
         await node.phases.reached(Phase.LEAVING)
-        await self.queue.post(lambda: self.core.leave(time.monotonic()))
+        await self.queue.enqueue(lambda: self.core.leave(time.monotonic()))
 
     async def _update_decisions(self) -> None:
         while True:
             await self.decisions_outdated.wait()
             self.decisions_outdated = anyio.Event()
-            await self.dispatcher.post(self.dispatcher.take_out, self.core.edge.out())
+            await self.dispatcher.enqueue(self.dispatcher.set_servers_in_maintenance, self.core.edge.out())
             while self.draws_complete and (note := encode_note(self.sums.values())):
-                await self.dispatcher.post(self.dispatcher.noted, ALL_PEERS, note)
+                await self.dispatcher.enqueue(self.dispatcher.noted, ALL_PEERS, note)
             if self.draws_complete:
-                await self.dispatcher.post(self.dispatcher.noted, ALL_PEERS, b"")
+                await self.dispatcher.enqueue(self.dispatcher.noted, ALL_PEERS, b"")
 
     # Draws of this node go to the copies; draws of others go to the decisions as notes.
 
-    def tell(self, payload: bytes) -> None:
+    def publish(self, payload: bytes) -> None:
         """Accept a note of the decisions with draws of this node, in place of sending it to all others."""
         self.queued_notes.append(payload)
 
@@ -319,14 +319,14 @@
                             f"to serve: {failure}",
                             "cluster.full",
                         )
-                        await self.queue.post(lambda: self.core.set_can_lead(time.monotonic(), False))
+                        await self.queue.enqueue(lambda: self.core.set_can_lead(time.monotonic(), False))
                     await anyio.sleep(WRITE_RETRY_S)
             if not self.disk_writable:
                 self.disk_writable = True
                 self.log.say("cluster: writes to disk succeed again", "cluster.room")
-                await self.queue.post(lambda: self.core.set_can_lead(time.monotonic(), True))
+                await self.queue.enqueue(lambda: self.core.set_can_lead(time.monotonic(), True))
             if core is self.core:
-                await self.queue.post(self._rows_synced, core, number)
+                await self.queue.enqueue(self._rows_synced, core, number)
 
     def _write_locked(self, core: Cluster, rows: list[tuple[Any, ...]]) -> None:
         with self.disk_lock:
@@ -439,7 +439,7 @@
         return (host, int(port)) if host and port.isdecimal() else None
 
     async def _on_newer_start(self, start: int) -> None:
-        await self.queue.post(self._reset_folder, start)
+        await self.queue.enqueue(self._reset_folder, start)
 
     def _reset_folder(self, start: int) -> None:
         """Replace the log by an empty one: other nodes have seen a later start, so this folder is outdated
@@ -471,7 +471,7 @@
         """Handle a request of an operator; returns whether it succeeded, and the answer or the reason."""
         answered, answers = anyio.Event(), list[tuple[bool, str]]()
         self.pending_requests[request_id] = (answered, answers)
-        await self.queue.post(lambda: self.core.request(time.monotonic(), request_id, verb, args))
+        await self.queue.enqueue(lambda: self.core.request(time.monotonic(), request_id, verb, args))
         with anyio.move_on_after(REQUEST_TIMEOUT_S):
             await answered.wait()
         self.pending_requests.pop(request_id, None)
--- a/merlintally/net/counter.py
+++ b/merlintally/net/counter.py
@@ -10,9 +10,9 @@
 
 from merlintally.fields import Malformed, number
 from merlintally.interface import CounterOutcome
+from merlintally.net.call_queue import Owner
 from merlintally.net.configuration import Address, Bounds
 from merlintally.net.log import Log
-from merlintally.net.post import Owner
 from merlintally.net.resp import line_end
 from merlintally.net.sockets import Stream, connect, tcp_socket
 from merlintally.net.timers import Clock, Timers
@@ -183,7 +183,7 @@
 
     async def _fail_all(self, calls: deque[Call]) -> None:
         while calls:
-            await self.dispatcher.post(self._fail, calls.popleft())
+            await self.dispatcher.enqueue(self._fail, calls.popleft())
 
     def _fail(self, call: Call) -> None:
         if not call.ended:
@@ -211,7 +211,9 @@
             if not connection.unanswered:
                 raise Malformed("an answer came without a call")
             outcome, total = parse_outcome(answer)
-            await self.dispatcher.post(self._handle_answer, connection.unanswered.popleft(), outcome, total)
+            await self.dispatcher.enqueue(
+                self._handle_answer, connection.unanswered.popleft(), outcome, total
+            )
         if not PARTIAL_ANSWER.fullmatch(stream.buffer, stream.start, stream.end):
             raise Malformed("an answer begins with an unknown word")
 
--- a/merlintally/net/discovery.py
+++ b/merlintally/net/discovery.py
@@ -10,9 +10,9 @@
 
 from merlintally.fields import Malformed
 from merlintally.net.backoff import Backoff
+from merlintally.net.call_queue import Owner
 from merlintally.net.configuration import Address, Bounds, parse_page
 from merlintally.net.log import Log
-from merlintally.net.post import Owner
 from merlintally.net.sockets import Stream, connect, tcp_socket
 
 MAX_BODY_BYTES = 8 << 20
@@ -183,4 +183,4 @@
         # Set before the wait for the queue, during which `set_address` may reset the version.
         self.version, self.failing = index, False
         if entries or complete:
-            await self.dispatcher.post(self.dispatcher.listed, entries, complete)
+            await self.dispatcher.enqueue(self.dispatcher.listed, entries, complete)
--- a/merlintally/net/peers.py
+++ b/merlintally/net/peers.py
@@ -7,9 +7,9 @@
 
 import anyio
 
+from merlintally.net.call_queue import Owner
 from merlintally.net.configuration import Address
 from merlintally.net.log import Log
-from merlintally.net.post import Owner
 
 MAX_NOTE_BYTES = 256  # set by the protocol
 
@@ -32,7 +32,7 @@
         self.everyone, self.dispatcher, self.log = everyone, dispatcher, log
         self.sock = sock
 
-    def tell(self, payload: bytes) -> None:
+    def publish(self, payload: bytes) -> None:
         """Sends a note to all other nodes. It is dropped if it can't be sent, like notes lost on the way."""
         if self.everyone is None or len(payload) > MAX_NOTE_BYTES:
             self.log.say(f"a note of {len(payload)} bytes can't be sent", "note.unsent", bytes=len(payload))
@@ -50,7 +50,7 @@
                 continue
             number = self.peer_numbers.get(sender)
             if number is not None and len(payload) <= MAX_NOTE_BYTES:
-                await self.dispatcher.post(self.dispatcher.noted, number, payload)
+                await self.dispatcher.enqueue(self.dispatcher.noted, number, payload)
             else:
                 origin = f"{len(payload)} bytes or more from {sender[0]}:{sender[1]}"
                 self.log.say(f"a datagram of {origin} is dropped", "note.dropped")
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -268,7 +268,7 @@
         while encode_note(node.sums.values()):
             handed_on += 1
         assert handed_on < 10
-        node.tell(encode_note([SimpleNamespace(mark=255, drawn=2.0)]))
+        node.publish(encode_note([SimpleNamespace(mark=255, drawn=2.0)]))
         node._collect_draws(100.0)
         assert node.core.copies is not None and node.core.copies.store.used("000000ff") == 2.0
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,5 @@
-"""Events that cross: stand-ins hold a byte, a close or an answer until told, so that the bad order comes
-about every time. The rows of docs/crossings.md name these tests."""
+"""Races between events. Stand-ins hold back a byte, a close or an answer, so that the order of events under
+test occurs in each run. The rows of docs/crossings.md name these tests."""
 
 import socket
 from collections.abc import Callable
@@ -9,7 +9,18 @@
 
 import anyio
 import pytest
-from helpers import HI, Scene, known, play, said, server, silent, taken, told, until
+from helpers import (
+    HI,
+    Scene,
+    known_servers,
+    make_deployment,
+    parsed_request,
+    request_bytes,
+    run_node,
+    server,
+    silent_server,
+    wait_until,
+)
 
 from merlintally.net.clients import Client, Clients
 from merlintally.net.configuration import Bounds, parse_page
@@ -24,13 +35,13 @@
 
 
 def clients_of(**bounds: Any) -> Clients:
-    """A node's clients without a node, with room for one connection."""
-    deployment = told(bounds=Bounds(**bounds))
+    """Return the `Clients` of a node, without the node, with descriptors for one connection."""
+    deployment = make_deployment(bounds=Bounds(**bounds))
     return Clients(
         deployment,
         Mock(),
         Phases(),
-        Mock(post=AsyncMock()),
+        Mock(enqueue=AsyncMock()),
         Clock(),
         Log("n", 9.0),
         Mock(),
@@ -43,164 +54,166 @@
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     client = Client(clients, ours)
-    clients.connections[client], client.known = None, True
+    clients.connections[client], client.has_sent_request = None, True
     return client, theirs
 
 
-# A client leaves.
+# A client disconnects.
 
 
 @pytest.mark.parametrize(
-    "behind, changes",
+    "unread_input, changes",
     [
-        (said(), {"bounds": Bounds(pipelined=1)}),
+        (request_bytes(), {"bounds": Bounds(pipelined=1)}),
         (array(b"nap"), {"bounds": Bounds(fault_pause_s=5.0)}),
-        (said()[:9], {"memory": 1000}),
+        (request_bytes()[:9], {"memory": 1000}),
     ],
     ids=["answers awaited", "pause for a fault", "no room"],
 )
-def test_a_client_that_leaves_behind_what_is_not_read_is_gone(behind: bytes, changes: dict[str, Any]) -> None:
-    """Its end stood behind bytes that the node did not read, and its attempt went on to the hard limit."""
-    at = silent()
+def test_a_disconnect_behind_unread_input_is_detected(unread_input: bytes, changes: dict[str, Any]) -> None:
+    """Otherwise its attempt goes on until the hard limit."""
+    backend = silent_server()
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
-        sock.sendall(said() + behind)
-        await until(lambda: bool(at.heard))
+        sock.sendall(request_bytes() + unread_input)
+        await wait_until(lambda: bool(backend.received))
         sock.close()
         with anyio.fail_after(0.8):
-            while not at.ends:
+            while not backend.closed_connections:
                 await anyio.sleep(0.002)
 
-    play(told(known=known(at), **changes), act, at)
-    assert len(at.heard) == 1
+    run_node(make_deployment(known=known_servers(backend), **changes), act, backend)
+    assert len(backend.received) == 1
 
 
-def test_what_a_client_that_left_had_asked_is_marked_before_word_of_it_waits_in_the_queue() -> None:
-    """Sends for it went out while the word of its leaving stood behind thousands of other calls."""
+def test_requests_of_a_disconnected_client_are_marked_before_the_call_waits_in_the_queue() -> None:
+    """Otherwise attempts are sent for it while the call waits behind others in the queue."""
     clients = clients_of()
     client, theirs = client_of(clients)
-    owed = [taken(said(), client) for _ in range(3)]
+    owed = [parsed_request(request_bytes(), client) for _ in range(3)]
     client.pending.extend(owed)
     seen = list[bool]()
 
-    async def post(*call: object) -> None:
-        seen.extend(one.gone for one in owed)
+    async def enqueue(*call: object) -> None:
+        seen.extend(one.client_gone for one in owed)
 
-    clients.dispatcher = Mock(post=post)
+    clients.dispatcher = Mock(enqueue=enqueue)
     with theirs:
-        anyio.run(client._gone)
+        anyio.run(client._release)
     assert seen == [True] * 9
 
 
-def test_half_a_command_that_comes_while_answers_are_awaited_has_its_own_time_to_be_whole() -> None:
+def test_a_partial_command_read_while_answers_are_due_has_its_own_deadline() -> None:
     clients = clients_of()
     client, theirs = client_of(clients)
-    client.whole_by = client.read_at - 1.0
+    client.command_deadline = client.last_read_at - 1.0
 
     async def act() -> None:
-        await client._watching(come)
+        await client._wait_while_reading(receive_partial_command)
 
-    async def come() -> None:
-        theirs.sendall(said()[:9])
-        await until(lambda: client.stream.end > 0)
+    async def receive_partial_command() -> None:
+        theirs.sendall(request_bytes()[:9])
+        await wait_until(lambda: client.stream.end > 0)
 
     with theirs:
         anyio.run(act)
-        assert client.whole_by > clients.clock.now()
+        assert client.command_deadline > clients.clock.now()
     client.stream.sock.close()
 
 
 # The node closes a connection.
 
-CLOSING: list[Callable[[Clients], object]] = [Clients.sweep, Clients.give_way, Clients.retire]
+CLOSE_METHODS: list[Callable[[Clients], object]] = [Clients.sweep, Clients.evict, Clients.retire]
 
 
-@pytest.mark.parametrize("close", CLOSING, ids=["sweep", "give_way", "retire"])
-@pytest.mark.parametrize("begun", [0, 9], ids=["resting", "begun"])
-def test_a_submission_that_has_come_is_not_lost_with_its_connection(
-    close: Callable[[Clients], object], begun: int
+@pytest.mark.parametrize("close", CLOSE_METHODS, ids=["sweep", "evict", "retire"])
+@pytest.mark.parametrize("read_bytes", [0, 9], ids=["nothing read", "partly read"])
+def test_a_received_request_is_not_lost_when_its_connection_is_closed(
+    close: Callable[[Clients], object], read_bytes: int
 ) -> None:
-    """It was whole in the kernel's buffer, and unread, when its connection was closed for its silence."""
-    clients, raw = clients_of(), said()
+    """A connection with unread input in the receive buffer is not closed as idle."""
+    clients, raw = clients_of(), request_bytes()
     client, theirs = client_of(clients)
-    client.stream.buffer[:begun], client.stream.end = raw[:begun], begun
-    client.moved_at = client.whole_by = client.moved_at - 100.0
+    client.stream.buffer[:read_bytes], client.stream.end = raw[:read_bytes], read_bytes
+    client.last_progress_at = client.command_deadline = client.last_progress_at - 100.0
     with theirs:
-        theirs.sendall(raw[begun:])
+        theirs.sendall(raw[read_bytes:])
         close(clients)
         assert not client.closing and not client.ended
         client.stream.sock.recv(1 << 16)
         close(clients)
-        assert client.closing or client.ended or (begun and client.retiring)
+        assert client.closing or client.ended or (read_bytes and client.retiring)
     client.stream.sock.close()
 
 
-def test_a_connection_that_is_closing_does_not_give_way_over_unread_bytes() -> None:
-    """A close over unread bytes resets the connection, and the answer that just went out goes with it."""
+def test_a_closing_connection_with_unread_input_is_not_evicted() -> None:
+    """Closing with unread input resets the connection, and the last answer may be lost."""
     clients = clients_of()
     client, theirs = client_of(clients)
     client.closing = True
     with theirs:
-        theirs.sendall(said())
-        assert not clients.give_way() and not client.ended
+        theirs.sendall(request_bytes())
+        assert not clients.evict() and not client.ended
         client.stream.sock.recv(1 << 16)
-        assert clients.give_way() and client.ended
+        assert clients.evict() and client.ended
     client.stream.sock.close()
 
 
-def test_a_node_told_to_leave_closes_what_rests_and_answers_what_has_begun() -> None:
-    at, heard = server(), list[bytes]()
+def test_a_leaving_node_closes_idle_connections_and_answers_partial_requests() -> None:
+    backend, answers = server(), list[bytes]()
 
     async def act(scene: Scene) -> None:
-        raw = said()
-        resting, begun = await scene.connect(), await scene.connect()
-        resting.sendall(said())
-        heard.append(await scene.hear(resting, until=1))
-        begun.sendall(raw[:40])
+        raw = request_bytes()
+        idle, partial = await scene.connect(), await scene.connect()
+        idle.sendall(request_bytes())
+        answers.append(await scene.receive(idle, until=1))
+        partial.sendall(raw[:40])
         scene.node.leave()
         await scene.node.phases.reached(Phase.FINISHING)
-        heard.append(await scene.hear(resting))
-        begun.sendall(raw[40:])
-        heard.append(await scene.hear(begun))
+        answers.append(await scene.receive(idle))
+        partial.sendall(raw[40:])
+        answers.append(await scene.receive(partial))
         await scene.node.phases.reached(Phase.ENDED)
 
-    play(told(known=known(at), bounds=Bounds(leave_s=0.05)), act, at)
-    assert heard == [HI, b"", HI] and len(at.heard) == 2
+    run_node(make_deployment(known=known_servers(backend), bounds=Bounds(leave_s=0.05)), act, backend)
+    assert answers == [HI, b"", HI] and len(backend.received) == 2
 
 
-def test_a_client_that_keeps_its_end_open_does_not_hold_up_the_leave() -> None:
+def test_a_client_that_does_not_disconnect_does_not_delay_the_shutdown() -> None:
     async def act(scene: Scene) -> None:
-        deaf = await scene.connect()
+        idle = await scene.connect()
         scene.node.leave()
         with anyio.fail_after(1.5):
             await scene.node.phases.reached(Phase.ENDED)
-        deaf.close()
+        idle.close()
 
-    play(told(bounds=Bounds(leave_s=0.05)), act)
+    run_node(make_deployment(bounds=Bounds(leave_s=0.05)), act)
 
 
-def test_nothing_is_read_any_more_when_what_is_open_is_ended() -> None:
-    """A client that had begun one more command was cut off only with the process, over what it still sent."""
-    at, heard, phases = silent(), list[bytes](), list[Phase]()
+def test_no_input_is_read_after_open_requests_are_ended() -> None:
+    """A client that is sending another command is disconnected before the process ends."""
+    backend, answers, phases = silent_server(), list[bytes](), list[Phase]()
 
     async def act(scene: Scene) -> None:
         sock = await scene.connect()
-        sock.sendall(said())
-        await until(lambda: bool(at.heard))
-        sock.sendall(said()[:40])
+        sock.sendall(request_bytes())
+        await wait_until(lambda: bool(backend.received))
+        sock.sendall(request_bytes()[:40])
         scene.node.leave()
-        heard.append(await scene.hear(sock))
+        answers.append(await scene.receive(sock))
         phases.append(scene.node.phases.current)
         sock.close()
 
-    play(told(known=known(at), bounds=Bounds(leave_s=0.05, finish_s=0.2)), act, at)
-    assert heard[0].startswith(b"-BUSY") and phases == [Phase.FINISHING] and len(at.heard) == 1
+    run_node(
+        make_deployment(known=known_servers(backend), bounds=Bounds(leave_s=0.05, finish_s=0.2)), act, backend
+    )
+    assert answers[0].startswith(b"-BUSY") and phases == [Phase.FINISHING] and len(backend.received) == 1
 
 
-def test_a_submission_read_after_all_has_ended_is_bounced_and_never_sent() -> None:
-    """Sends of what came on connections still open went out with nobody left to hand on the answer."""
-    dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0))
+def test_a_request_read_after_open_requests_are_ended_is_bounced_and_not_sent() -> None:
+    """No task would be left to deliver the answer."""
+    dispatcher = Dispatcher(make_deployment(), Clock(), Log("n", 9.0))
     dispatcher.timers, dispatcher.fleet = Mock(), Mock()
     dispatcher.listed(
         parse_page({"index": 1, "endpoints": [{"name": "s", "status": "SERVING", "address": "127.0.0.1:1"}]})[
@@ -208,14 +221,14 @@
         ],
         True,
     )
-    dispatcher.end_all()
-    late = taken(said(), Mock(), Clock().now())
+    dispatcher.end_open_requests()
+    late = parsed_request(request_bytes(), Mock(), Clock().now())
     dispatcher.take(late)
     dispatcher.carry_out()
     assert late.answer == [b"-BUSY\r\n"] and not dispatcher.fleet.send.called
 
 
-def test_a_connection_that_came_before_the_listener_closes_is_taken_beyond_the_descriptors() -> None:
+def test_connections_waiting_when_the_listener_closes_are_accepted_beyond_the_limit() -> None:
     clients = clients_of()
     clients.descriptors.acquire()
     clients.listener = socket.create_server(("127.0.0.1", 0))
@@ -227,37 +240,36 @@
             client.stream.sock.close()
 
 
-def test_a_node_with_short_hard_limits_has_ended_before_it_is_killed() -> None:
-    """It waited 3.4 s for a client with half a command, and was killed with answers unwritten at 0.7 s after
-    the longest hard limit."""
-    deployment = told(bounds=Bounds(leave_s=0.05))
+def test_a_node_with_short_hard_limits_shuts_down_in_time() -> None:
+    """It has to end within 0.7 s after the longest hard limit, when it is killed."""
+    deployment = make_deployment(bounds=Bounds(leave_s=0.05))
     lanes = tuple(replace(lane, quoted_time=0.1, hard_limit=0.2) for lane in deployment.facts.lanes)
 
     async def act(scene: Scene) -> None:
-        half = await scene.connect()
-        half.sendall(said()[:9])
+        partial = await scene.connect()
+        partial.sendall(request_bytes()[:9])
         scene.node.leave()
         with anyio.fail_after(2.0):
             await scene.node.phases.reached(Phase.ENDED)
-        half.close()
+        partial.close()
 
     bounds = deployment.bounds
     assert bounds.finish_beyond_s + bounds.late_s + min(bounds.linger_s, bounds.late_s) < 0.7
 
-    play(replace(deployment, facts=replace(deployment.facts, lanes=lanes)), act)
+    run_node(replace(deployment, facts=replace(deployment.facts, lanes=lanes)), act)
 
 
-# What was decided before and is written later.
+# Decisions that are out of date when they are carried out.
 
 
 @pytest.mark.parametrize("change", ["late", "gone", "draining"])
-def test_what_was_decided_is_looked_up_again_when_its_connection_comes_up(change: str) -> None:
-    """A connection that came up late carried a repeat out of its window, to one that drained, or for a client
-    that had left."""
-    at, dispatcher, clock = silent(), Mock(post=AsyncMock()), Clock()
-    deployment = told(known=known(at))
-    client = Mock(has_left=Mock(return_value=False), is_unseen=Mock(return_value=False))
-    one = taken(said(), client, Clock().now())
+def test_an_attempt_is_checked_again_when_its_connection_opens(change: str) -> None:
+    """Otherwise a slow connect sends a retry outside its deduplication window, to a draining server, or for a
+    disconnected client."""
+    backend, dispatcher, clock = silent_server(), Mock(enqueue=AsyncMock()), Clock()
+    deployment = make_deployment(known=known_servers(backend))
+    client = Mock(has_left=Mock(return_value=False), end_may_be_unread=Mock(return_value=False))
+    one = parsed_request(request_bytes(), client, Clock().now())
 
     async def act() -> None:
         async with anyio.create_task_group() as group:
@@ -268,7 +280,7 @@
             now = clock.now()
             attempt = Attempt(one, 1, now, now + 5.0, now + 5.0)
             assert fleet.send("s0", attempt)
-            one.gone = change == "gone"
+            one.client_gone = change == "gone"
             if change == "late":
                 attempt.begin_by = now
             if change == "draining":
@@ -276,23 +288,23 @@
                     [replace(row, facts=replace(row.facts, presence="draining")) for row in deployment.known],
                     False,
                 )
-            group.start_soon(at.run)
-            await until(lambda: dispatcher.post.called)
+            group.start_soon(backend.run)
+            await wait_until(lambda: dispatcher.enqueue.called)
             group.cancel_scope.cancel()
 
     anyio.run(act)
-    at.sock.close()
-    assert dispatcher.post.call_args.args[-1].outcome == "unreachable" and not at.heard
+    backend.sock.close()
+    assert dispatcher.enqueue.call_args.args[-1].outcome == "unreachable" and not backend.received
 
 
-def test_a_connection_that_its_server_is_about_to_close_is_not_used_between_two_sweeps() -> None:
-    """With servers that close after a second, one was written to 0.1 s before: what crosses may have run."""
-    at, clock = silent(), Clock()
-    deployment = told(known=known(at), idle_close=1.0)
+def test_a_connection_that_its_server_may_close_soon_is_not_used_between_sweeps() -> None:
+    """A request that crosses the server's close may have run."""
+    backend, clock = silent_server(), Clock()
+    deployment = make_deployment(known=known_servers(backend), idle_close=1.0)
     fleet = Fleet(deployment, Mock(), clock, Log("n", 9.0), Mock(), ResourceLimit(9), ResourceLimit(1 << 20))
     fleet.update_servers(deployment.known, True)
     links = [Mock(idle_since=clock.now() - ago) for ago in (0.9, 0.3, 0.001)]
     fleet.servers["s0"].idle.extend(links)
     assert fleet._take_idle(fleet.servers["s0"]) is links[1]
     assert fleet._take_idle(fleet.servers["s0"]) is None
-    at.sock.close()
+    backend.sock.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -24,25 +24,25 @@
 import pytest
 from helpers import (
     HI,
-    IDS,
     OK,
     PLAN,
+    REQUEST_IDS,
     SERVER,
     Scene,
     Standin,
-    answers_in,
+    count_answers,
     gateway,
-    known,
+    is_complete_command,
+    known_servers,
     lane,
     listing,
-    play,
-    said,
+    make_deployment,
+    request_bytes,
+    run_node,
     server,
-    silent,
+    silent_server,
     take,
-    told,
-    until,
-    whole,
+    wait_until,
 )
 
 from merlintally.choice import Gateway, Submission
@@ -86,14 +86,14 @@
         small_buffers(scene.node.listener)
         with small_buffers(socket.socket()) as sock:
             sock.connect(scene.node.address)
-            sock.sendall(said())
-            await until(lambda: len(stand_in.heard) == 1)
+            sock.sendall(request_bytes())
+            await wait_until(lambda: len(stand_in.received) == 1)
             await anyio.sleep(0.1)  # the answer has arrived, and is larger than the socket's buffers
             sock.shutdown(socket.SHUT_WR)
             await anyio.sleep(0.2)
             await still_serves(scene)
 
-    play(told(known=known(stand_in)), act, stand_in)
+    run_node(make_deployment(known=known_servers(stand_in)), act, stand_in)
 
 
 def test_an_answer_before_the_end_of_its_request_affects_no_other(
@@ -120,7 +120,7 @@
         answers = []
 
         async def ask() -> None:
-            answers.append(await scene.ask(said(b"Q.DO", terms, body=LONG_BODY)))
+            answers.append(await scene.ask(request_bytes(b"Q.DO", terms, body=LONG_BODY)))
 
         async with anyio.create_task_group() as group:
             for _ in range(3):
@@ -128,7 +128,7 @@
         assert all(answers), "a request got no final answer"
         await still_serves(scene)
 
-    play(told(known=known(stand_in)), act, stand_in)
+    run_node(make_deployment(known=known_servers(stand_in)), act, stand_in)
 
 
 def test_a_wake_up_that_comes_early_is_scheduled_again() -> None:
@@ -165,7 +165,7 @@
 
 
 def dispatcher_alone() -> Dispatcher:
-    dispatcher = Dispatcher(told(), Clock(), Log("n", 9.0))
+    dispatcher = Dispatcher(make_deployment(), Clock(), Log("n", 9.0))
     dispatcher.fleet = Mock()
     return dispatcher
 
@@ -243,7 +243,7 @@
 
         async def ask() -> None:
             await anyio.sleep(0.3)  # while connections are still accepted, and accept fails
-            answers.append(await scene.ask(said()))
+            answers.append(await scene.ask(request_bytes()))
 
         scene.node.leave()
         async with anyio.create_task_group() as group:
@@ -254,7 +254,7 @@
     errors = [errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.ENETUNREACH]
     while errors:
         stand_in = server()
-        play(told(known=known(stand_in)), act, stand_in)
+        run_node(make_deployment(known=known_servers(stand_in)), act, stand_in)
 
 
 def test_new_clients_stay_connected_despite_temporary_errors_of_accept(
@@ -271,14 +271,14 @@
                 waiting = await scene.connect()
                 await anyio.sleep(0.1)
             for sock in (first, second, waiting):
-                sock.sendall(said())
-                assert await scene.hear(sock, until=1) == HI
+                sock.sendall(request_bytes())
+                assert await scene.receive(sock, until=1) == HI
             waiting.close()
 
     errors = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EPROTO]
     while errors:
         stand_in = server()
-        play(told(known=known(stand_in)), act, stand_in)
+        run_node(make_deployment(known=known_servers(stand_in)), act, stand_in)
 
 
 def test_a_client_is_answered_despite_temporary_errors_of_reads_and_writes(
@@ -289,31 +289,35 @@
         for error in (errno.ENOBUFS, errno.ENOMEM, errno.EHOSTUNREACH, errno.ETIMEDOUT):
             with await scene.connect() as sock:
                 stand_in.gate = anyio.Event()
-                sock.sendall(said())
-                await until(lambda: bool(stand_in.heard))
+                sock.sendall(request_bytes())
+                await wait_until(lambda: bool(stand_in.received))
                 sock.sendall(array(b"PING"))  # to be read while reads fail
                 async with anyio.create_task_group() as group:
                     group.start_soon(calls.for_a_moment, error, 0.1)
                     await anyio.sleep(0.05)
                     stand_in.gate.set()
-                assert await scene.hear(sock, until=2) == HI + b"+PONG\r\n", error
-            stand_in.heard.clear()
+                assert await scene.receive(sock, until=2) == HI + b"+PONG\r\n", error
+            stand_in.received.clear()
 
     stand_in = server()
-    play(told(known=known(stand_in)), act, stand_in)
+    run_node(make_deployment(known=known_servers(stand_in)), act, stand_in)
 
 
 def test_commands_that_were_read_are_answered_before_a_shutdown_ends() -> None:
-    stand_in = silent()
+    stand_in = silent_server()
 
     async def act(scene: Scene) -> None:
         with await scene.connect() as sock:
-            sock.sendall(said() + said() + said())
-            await until(lambda: bool(stand_in.heard))
+            sock.sendall(request_bytes() + request_bytes() + request_bytes())
+            await wait_until(lambda: bool(stand_in.received))
             scene.node.leave()
-            assert answers_in(await scene.hear(sock)) == 3
+            assert count_answers(await scene.receive(sock)) == 3
 
-    play(told(known=known(stand_in), bounds=Bounds(pipelined=1, finish_s=0.8)), act, stand_in)
+    run_node(
+        make_deployment(known=known_servers(stand_in), bounds=Bounds(pipelined=1, finish_s=0.8)),
+        act,
+        stand_in,
+    )
 
 
 def test_the_counter_continues_after_a_temporary_lack_of_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -329,7 +333,7 @@
     monkeypatch.setattr(counter_module, "tcp_socket", failing_once)
     outcomes, stand_in = list[str](), Standin(lambda words: b"ok 1\r\n" * words.count(b"\r\n") or b"")
     owner = Mock(counted=lambda _name, outcome, *_: outcomes.append(outcome))
-    owner.post = AsyncMock(side_effect=lambda call, *args: call(*args))
+    owner.enqueue = AsyncMock(side_effect=lambda call, *args: call(*args))
 
     async def act() -> None:
         counter = counter_module.Counter(
@@ -339,9 +343,9 @@
             group.start_soon(stand_in.run)
             group.start_soon(counter.run)
             assert counter.add(7, 1.0, 60.0)
-            await until(lambda: outcomes == ["unreachable"])
+            await wait_until(lambda: outcomes == ["unreachable"])
             assert counter.add(7, 1.0, 60.0)
-            await until(lambda: outcomes == ["unreachable", "ok"])
+            await wait_until(lambda: outcomes == ["unreachable", "ok"])
             group.cancel_scope.cancel()
 
     anyio.run(act)
@@ -360,18 +364,18 @@
         assert stand_in.gate is not None
         terms = b"c=order,t=plan,d=1500,k=key,units=1,spread=1,first=0"
         with await scene.connect() as sock:
-            sock.sendall(said())
-            await until(lambda: len(stand_in.heard) == 1)
+            sock.sendall(request_bytes())
+            await wait_until(lambda: len(stand_in.received) == 1)
             for _ in range(8):
                 await anyio.wait_writable(sock)
                 with suppress(BlockingIOError):
-                    sock.sendall(said(b"Q.DO", terms, body=LONG_BODY))
+                    sock.sendall(request_bytes(b"Q.DO", terms, body=LONG_BODY))
         await anyio.sleep(0.12)  # after its close
         stand_in.gate.set()
         await anyio.sleep(0.2)
-        assert len(stand_in.heard) == 1
+        assert len(stand_in.received) == 1
 
-    play(told(known=known(stand_in), bounds=Bounds(pipelined=1)), act, stand_in)
+    run_node(make_deployment(known=known_servers(stand_in), bounds=Bounds(pipelined=1)), act, stand_in)
 
 
 # A server in slow start.
@@ -381,7 +385,7 @@
 
 def send_all_allowed(decisions: Gateway, now: float) -> int:
     """Sends the cold server all that may be sent now; returns the number of sends."""
-    handle, before = take(decisions, next(IDS), now=now), len(decisions.results.sends)
+    handle, before = take(decisions, next(REQUEST_IDS), now=now), len(decisions.results.sends)
     server = decisions.servers["cold"]
     while decisions._slow_start_allows(now, server):
         decisions._send(now, handle, server)
@@ -443,11 +447,11 @@
         monkeypatch.setattr(Submission, "ended", failing)
         terms = b"c=pay,t=plan,d=300,units=1,spread=1,first=0"
         began = time.monotonic()
-        answer = await scene.ask(said(b"Q.DO", terms))
+        answer = await scene.ask(request_bytes(b"Q.DO", terms))
         assert answer.startswith(b"-ERR") and time.monotonic() - began < 0.3 + 0.5
 
     stand_in = server(b"-ERR failed\r\n")
-    play(told(known=known(stand_in)), act, stand_in)
+    run_node(make_deployment(known=known_servers(stand_in)), act, stand_in)
 
 
 def test_a_file_half_written_at_sighup_is_read_once_it_is_complete(tmp_path: Path) -> None:
@@ -586,11 +590,11 @@
 
     async def act() -> None:
         old, new = ("127.0.0.1", 1), ("127.0.0.1", 2)
-        owner = Mock(post=AsyncMock(side_effect=blocked))
+        owner = Mock(enqueue=AsyncMock(side_effect=blocked))
         discovery = Discovery(old, 3, Bounds(), owner, chance, Log("n", 9.0))
         async with anyio.create_task_group() as group:
-            group.start_soon(discovery._apply, listing(silent(), index=4).partition(b"\r\n\r\n")[2])
-            await until(lambda: owner.post.called)
+            group.start_soon(discovery._apply, listing(silent_server(), index=4).partition(b"\r\n\r\n")[2])
+            await wait_until(lambda: owner.enqueue.called)
             discovery.set_address(new)
             release.set()
         assert discovery.version is None
@@ -684,18 +688,18 @@
         with monkeypatch.context() as patched:
             patched.setattr(anyio, "wait_readable", failing_wait)
             with await scene.connect() as sock:
-                sock.sendall(said())
-                assert await scene.hear(sock, until=1) == HI
+                sock.sendall(request_bytes())
+                assert await scene.receive(sock, until=1) == HI
         for name in ("close", "shutdown"):
             with monkeypatch.context() as patched:
                 patched.setattr(socket.socket, name, failing(name))
-                received = await scene.ask(said(), array(b"QUIT"), until=2)
+                received = await scene.ask(request_bytes(), array(b"QUIT"), until=2)
                 assert received == HI + b"+OK\r\n"
                 await anyio.sleep(0.1)
         await still_serves(scene)
         assert not failures
 
-    play(told(known=known(stand_in), bounds=Bounds(linger_s=0.05)), act, stand_in)
+    run_node(make_deployment(known=known_servers(stand_in), bounds=Bounds(linger_s=0.05)), act, stand_in)
 
 
 def ports_of(sock: socket.socket) -> tuple[int, int]:
@@ -723,12 +727,12 @@
     async def act(scene: Scene) -> None:
         monkeypatch.setattr(Request, "__init__", failing_second)
         with await scene.connect() as sock:
-            sock.sendall(said() + said() + said())
-            received = await scene.hear(sock, until=3)
+            sock.sendall(request_bytes() + request_bytes() + request_bytes())
+            received = await scene.receive(sock, until=3)
             assert received.count(HI) == 2 and b"-ERR" in received
 
     stand_in = server()
-    play(told(known=known(stand_in)), act, stand_in)
+    run_node(make_deployment(known=known_servers(stand_in)), act, stand_in)
 
 
 def test_the_budget_in_slow_start_is_proportional_to_the_size() -> None:
@@ -761,7 +765,7 @@
                 received = b""
                 while chunk := await anyio.to_thread.run_sync(sock.recv, 1 << 16):
                     received += chunk
-                    if whole(received):
+                    if is_complete_command(received):
                         complete_at.append(time.monotonic())
                         sock.sendall(OK)
 
@@ -773,7 +777,7 @@
 
     async def act(scene: Scene) -> None:
         began = time.monotonic()
-        assert await scene.ask(said(b"Q.DO", terms, body=LONG_BODY))
+        assert await scene.ask(request_bytes(b"Q.DO", terms, body=LONG_BODY))
         assert all(at - began < 0.15 for at in complete_at)
 
-    play(told(known=known(stand_in)), act, stand_in)
+    run_node(make_deployment(known=known_servers(stand_in)), act, stand_in)
