--- a/merlintally/subsets/records.py
+++ b/merlintally/subsets/records.py
@@ -10,8 +10,10 @@
 Address = tuple[str, int]
 PRESENCES: tuple[Presence, ...] = ("on", "draining", "gone")
 ROW = struct.Struct("<BBIIqdd4sH")  # level, presence, zone, machine, cell, started, size, host, port
-LEVEL_AT, PRESENCE_AT = 0, 1
-ZONE, STARTED = struct.Struct("<I"), struct.Struct("<d")
+LEVEL_AT = 0
+PRESENCE_AT = 1
+ZONE = struct.Struct("<I")
+STARTED = struct.Struct("<d")
 ON = PRESENCES.index("on")
 
 
