--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -101,7 +101,7 @@
 
 
 def test_a_node_that_is_none_of_them_is_refused() -> None:
-    with pytest.raises(ValueError, match="node 8 is none of 8"):
+    with pytest.raises(ValueError, match="node number 8 must be at least 0 and less than 8"):
         Descent(8, 8)
 
 
