--- a/merlintally/subsets/core.py
+++ b/merlintally/subsets/core.py
@@ -1,4 +1,4 @@
-"""One node's subset of the listed servers: it grows at once when it has to, and shrinks after a while."""
+"""One node's subset of the listed servers: grows at once when it is too small, and shrinks after a delay."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from typing import NamedTuple
 
 from merlintally.subsets.descent import Descent, start_level
-from merlintally.subsets.records import LEVEL_AT, ON, PRESENCE_AT, Listing, Rows
-
-ZONE_SHARE = 0.05  # of the serving servers, from which a zone counts as one that a subset can span
-ZONES = 2  # that a subset's serving servers lie in, where as many count
-MOST_STEPS = 2  # that a node adds for work that waits
-EASED = 3.0  # by which a moment without work that waits weighs more than one with it
-LOOK_S = 0.5  # seconds between two looks at what waits count for, at the most
-MISTAKES = (  # planted by name, in tests only
+from merlintally.subsets.records import LEVEL_OFFSET, PRESENCE_OFFSET, PRESENCE_ON, Listing, RowCodec
+
+ZONE_SHARE = 0.05  # of the serving servers, from which a zone is large enough for a subset to have to span it
+MIN_ZONES = 2  # of the serving servers of a subset, if as many zones are large enough
+MAX_EXTRA_LEVELS = 2  # added by a node while requests wait
+DECAY_FACTOR = 3.0  # rate at which the waiting time decays while no request waits
+MAX_SAMPLE_S = 0.5  # longest interval that one sample of waiting requests accounts for
+MISTAKES = (  # injected in tests only
     "each node has its own hash",
     "shrinks below its least",
     "a drained server is kept",
@@ -28,252 +28,273 @@
 
 
 class Terms(NamedTuple):
-    """What operators may set."""
+    """Settings of subsets, from the operators' file."""
 
-    size: int = 128  # servers that a subset is to have at least, and not quite twice as many
-    whole_up_to: int = 512  # listed servers, up to which the list is used whole
-    least: int = 64  # serving servers in a subset while more are alive
-    unanswered: int = 3  # attempts in a row, from which a server counts as failing
-    settle_s: float = 60.0  # for which a smaller subset has to be enough before it shrinks
-    pressed_s: float = (
-        2.0  # for which work waits, with short breaks at the most, before a subset grows a step
-    )
+    size: int = 128  # minimum servers of a subset; it has less than twice as many
+    whole_up_to: int = 512  # listed servers up to which the whole list is used
+    least: int = 64  # minimum serving servers of a subset, if more are alive
+    unanswered: int = 3  # consecutive unanswered attempts after which a server is failing
+    settle_s: float = 60.0  # time for which a smaller subset has to suffice before the subset shrinks
+    pressed_s: float = 2.0  # time for which requests wait before the subset grows by a level
 
 
 USUAL = Terms()
 
 
 class Subset:
-    """Follows the list, and says which of its servers this node works with.
+    """Tracks the list of servers and selects those that this node works with.
 
-    `listed` gives what is to be told of a list or its changes. `reported`, `pressed` and `wake` say whether
-    the subset has changed otherwise: then `members` is the whole of it.
+    `listed` returns the entries to publish for a list or its changes. `reported`, `pressed` and `wake` return
+    whether the subset has changed; if so, `members` has the whole new subset. Times are in Unix seconds.
     """
 
     def __init__(
-        self, number: int, nodes: int, terms: Terms = USUAL, mistakes: frozenset[str] = frozenset()
+        self,
+        node_number: int,
+        nodes: int,
+        settings: Terms = USUAL,
+        injected_faults: frozenset[str] = frozenset(),
     ) -> None:
-        self.nodes, self.terms, self.mistakes = nodes, terms, mistakes
-        self.level = self._start = 0
-        self.rows = dict[str, bytes]()  # by server: all that are listed
-        self._prefix = f"{number}:" if "each node has its own hash" in mistakes else ""
-        self._descent, self._packing = Descent(number, nodes), Rows()
-        self._short = dict[str, Listing]()  # the list, until it has been too long to be used whole
-        self._placed = False  # until then it is not looked up which server joins when
-        self._serving: list[dict[int, int]] = [{} for _ in range(self._descent.top + 1)]  # by level and zone
-        self._unanswered = dict[str, int]()  # attempts in a row, by server
-        self.steps, self._waited, self._looked_at, self._eased_since = 0, 0.0, 0.0, -1.0
+        self.nodes, self.settings, self.injected_faults = nodes, settings, injected_faults
+        self.level = self._base_level = 0
+        self.rows = dict[str, bytes]()  # all listed servers by name, once the list has been too long
+        self._hash_prefix = f"{node_number}:" if "each node has its own hash" in injected_faults else ""
+        self._descent, self._codec = Descent(node_number, nodes), RowCodec()
+        self._short_list = dict[str, Listing]()  # by server, until the list has been too long
+        self._bounded = False
+        # Serving servers that join at each level, by level and zone.
+        self._serving: list[dict[int, int]] = [{} for _ in range(self._descent.top + 1)]
+        self._unanswered = dict[str, int]()  # consecutive unanswered attempts by server
+        self.steps, self._waiting_s, self._sampled_at, self._idle_since = 0, 0.0, 0.0, -1.0
         self._shrinks_at = float("inf")
 
     @property
     def bounded(self) -> bool:
         """Whether the list is, or has been, too long to be used whole."""
-        return self._placed
+        return self._bounded
 
     @property
     def size(self) -> int:
-        """How many servers are in it."""
-        if not self._placed:
-            return len(self._short)
-        return sum(row[LEVEL_AT] <= self.level for row in self.rows.values())
+        """The number of servers in the subset."""
+        if not self._bounded:
+            return len(self._short_list)
+        return sum(row[LEVEL_OFFSET] <= self.level for row in self.rows.values())
 
     @property
     def whole(self) -> bool:
-        """Whether the list is used whole."""
+        """Whether the subset is the whole list."""
         return self.level >= self._descent.top
 
     @property
     def sharing(self) -> int:
-        """How many nodes send to one server. Steps of this node's own are not those of others."""
-        level = max(self._start, self.level - self.steps)
-        return min(self.nodes, 1 << level) if self._placed else self.nodes
+        """The number of nodes that send to one server; levels added for waiting requests don't count.
+
+        Those levels are this node's own: other nodes don't add them.
+        """
+        level = max(self._base_level, self.level - self.steps)
+        return min(self.nodes, 1 << level) if self._bounded else self.nodes
 
     def listed(
         self, now: float, entries: Sequence[Listing], complete: bool
     ) -> tuple[Sequence[Listing], bool]:
-        """Take a list or its changes; gives those to be told, and whether they are the whole subset."""
-        if not self._placed:
+        """Applies a list, or changes to it unless `complete`.
+
+        Returns the entries to publish, and whether they are the whole subset.
+        """
+        if not self._bounded:
             if self._stays_short(entries, complete):
                 self.level = self._descent.top
                 return entries, complete
-            self._take_all(list(self._short.values()))
-            self._short.clear()
-            if len(self.rows) > 2 * self.terms.whole_up_to:
-                self._shrinks_at = now  # guards against thousands of servers used whole until it settles
-            told = list[Listing]()
+            self._replace_all(list(self._short_list.values()))
+            self._short_list.clear()
+            if len(self.rows) > 2 * self.settings.whole_up_to:
+                self._shrinks_at = now  # a list this long is not used whole, even for the settling time
+            changes = list[Listing]()
         else:
-            told = self._take_all(entries) if complete else [one for one in entries if self._take(one)]
-        if self._settle(now):
+            changes = (
+                self._replace_all(entries) if complete else [entry for entry in entries if self._apply(entry)]
+            )
+        if self._adjust_level(now):
             return self.members(), True
         if self.whole:
             return entries, complete
         if complete:
-            return [one for one in entries if self._is_member(one.facts.server)], True
-        return told, False
+            return [entry for entry in entries if self._is_member(entry.facts.server)], True
+        return changes, False
 
     def members(self) -> list[Listing]:
-        """The whole subset."""
-        if not self._placed:
-            return list(self._short.values())
-        unpack, level = self._packing.unpack, self.level
-        return [unpack(name, row) for name, row in self.rows.items() if row[LEVEL_AT] <= level]
+        """Returns the entries of the whole subset."""
+        if not self._bounded:
+            return list(self._short_list.values())
+        unpack, level = self._codec.unpack, self.level
+        return [unpack(name, row) for name, row in self.rows.items() if row[LEVEL_OFFSET] <= level]
 
     def reported(self, now: float, server: str, answered: bool) -> bool:
-        """An attempt at a server has ended; whether the subset has changed by it."""
-        row, before = self.rows.get(server), self._unanswered.get(server, 0)
-        if row is None or row[LEVEL_AT] > self.level or (answered and not before):
+        """Records the end of an attempt; returns whether the subset has changed."""
+        row, previous = self.rows.get(server), self._unanswered.get(server, 0)
+        if row is None or row[LEVEL_OFFSET] > self.level or (answered and not previous):
             return False
-        self._count(server, row, -1)
+        self._count_serving(server, row, -1)
         if answered:
             del self._unanswered[server]
         else:
-            self._unanswered[server] = before + 1
-        self._count(server, row, 1)
-        crossed = before >= self.terms.unanswered if answered else before + 1 == self.terms.unanswered
-        return crossed and self._settle(now)
-
-    def pressed(self, now: float, waits: bool) -> bool:
-        """Whether this node's work waits for a place in its subset; whether the subset has changed by it."""
-        if not self._placed:
+            self._unanswered[server] = previous + 1
+        self._count_serving(server, row, 1)
+        crossed = (
+            previous >= self.settings.unanswered if answered else previous + 1 == self.settings.unanswered
+        )
+        return crossed and self._adjust_level(now)
+
+    def pressed(self, now: float, waiting: bool) -> bool:
+        """Samples whether requests wait for capacity in the subset; returns whether the subset has changed.
+
+        A level is added once requests have waited for `pressed_s`, short breaks included, and removed after
+        `settle_s` without waiting requests.
+        """
+        if not self._bounded:
             return False
-        passed, self._looked_at = min(LOOK_S, now - self._looked_at), now
-        self._waited = max(0.0, self._waited + (passed if waits else -EASED * passed))
-        if waits or self._eased_since < 0:
-            self._eased_since = now
-        if self._waited >= self.terms.pressed_s and self.steps < MOST_STEPS:
-            self.steps, self._waited = self.steps + 1, 0.0
-        elif self.steps and now - self._eased_since >= self.terms.settle_s:
-            self.steps, self._eased_since = self.steps - 1, now
+        elapsed, self._sampled_at = min(MAX_SAMPLE_S, now - self._sampled_at), now
+        self._waiting_s = max(0.0, self._waiting_s + (elapsed if waiting else -DECAY_FACTOR * elapsed))
+        if waiting or self._idle_since < 0:
+            self._idle_since = now
+        if self._waiting_s >= self.settings.pressed_s and self.steps < MAX_EXTRA_LEVELS:
+            self.steps, self._waiting_s = self.steps + 1, 0.0
+        elif self.steps and now - self._idle_since >= self.settings.settle_s:
+            self.steps, self._idle_since = self.steps - 1, now
         else:
             return False
-        return self._settle(now)
+        return self._adjust_level(now)
 
     def wake(self, now: float) -> bool:
-        """Whether the subset has shrunk, since a smaller one has been enough for a while."""
-        return now >= self._shrinks_at and self._settle(now)
+        """Shrinks the subset if a smaller one has sufficed for `settle_s`; returns whether it has changed."""
+        return now >= self._shrinks_at and self._adjust_level(now)
 
-    # How servers are kept.
+    # The listed servers.
 
     def _stays_short(self, entries: Sequence[Listing], complete: bool) -> bool:
-        """Whether the list is still one to be used whole; with two nodes any is."""
+        """Applies a list or its changes; returns whether the list is still used whole.
+
+        With up to two nodes it always is, since each server is in the subsets of at least two nodes.
+        """
         if self._descent.top <= 1:
             return True
         if complete:
-            self._short.clear()
+            self._short_list.clear()
         for entry in entries:
             if entry.facts.presence == "gone":
-                self._short.pop(entry.facts.server, None)
+                self._short_list.pop(entry.facts.server, None)
             else:
-                self._short[entry.facts.server] = entry
-        self._placed = len(self._short) > self.terms.whole_up_to
-        return not self._placed
+                self._short_list[entry.facts.server] = entry
+        self._bounded = len(self._short_list) > self.settings.whole_up_to
+        return not self._bounded
 
-    def _take_all(self, entries: Sequence[Listing]) -> list[Listing]:
-        """Take a whole list; gives nothing, as it is told as a whole."""
-        before, self.rows = self.rows, {}
+    def _replace_all(self, entries: Sequence[Listing]) -> list[Listing]:
+        """Applies a whole list; returns no changes, since the subset is published whole."""
+        previous, self.rows = self.rows, {}
         self._serving = [{} for _ in self._serving]
         for entry in entries:
             if entry.facts.presence != "gone":
-                name, old = entry.facts.server, before.get(entry.facts.server)
-                self._forget_attempts(entry, old)
-                self._put(name, self._packing.pack(self._level_of(name, old), entry))
+                name, old_row = entry.facts.server, previous.get(entry.facts.server)
+                self._reset_attempts(entry, old_row)
+                self._store(name, self._codec.pack(self._join_level(name, old_row), entry))
         self._unanswered = {name: count for name, count in self._unanswered.items() if name in self.rows}
         return []
 
-    def _take(self, entry: Listing) -> bool:
-        """Whether the change is one of the subset."""
+    def _apply(self, entry: Listing) -> bool:
+        """Applies the change of one server; returns whether the change concerns the subset."""
         name = entry.facts.server
-        old = self.rows.pop(name, None)
-        if old is not None:
-            self._count(name, old, -1)
+        old_row = self.rows.pop(name, None)
+        if old_row is not None:
+            self._count_serving(name, old_row, -1)
         if entry.facts.presence == "gone":
             self._unanswered.pop(name, None)
-            if old is not None and "one that left the list is kept" in self.mistakes:
+            if old_row is not None and "one that left the list is kept" in self.injected_faults:
                 return False
-            return old is not None and old[LEVEL_AT] <= self.level
-        self._forget_attempts(entry, old)
-        level = self._level_of(name, old)
-        if old is None and "newcomers join twice as many subsets" in self.mistakes:
+            return old_row is not None and old_row[LEVEL_OFFSET] <= self.level
+        self._reset_attempts(entry, old_row)
+        level = self._join_level(name, old_row)
+        if old_row is None and "newcomers join twice as many subsets" in self.injected_faults:
             level = max(0, level - 1)
-        row = self._packing.pack(level, entry)
-        self._put(name, row)
-        if entry.facts.presence == "draining" and "a drained server is kept" in self.mistakes:
+        row = self._codec.pack(level, entry)
+        self._store(name, row)
+        if entry.facts.presence == "draining" and "a drained server is kept" in self.injected_faults:
             return False
-        return row[LEVEL_AT] <= self.level
+        return row[LEVEL_OFFSET] <= self.level
 
-    def _put(self, name: str, row: bytes) -> None:
+    def _store(self, name: str, row: bytes) -> None:
         self.rows[name] = row
-        self._count(name, row, 1)
+        self._count_serving(name, row, 1)
 
-    def _level_of(self, name: str, old: bytes | None) -> int:
-        if old is not None:
-            return old[LEVEL_AT]
-        return self._descent.joins_at(self._prefix + name)
+    def _join_level(self, name: str, old_row: bytes | None) -> int:
+        if old_row is not None:
+            return old_row[LEVEL_OFFSET]
+        return self._descent.joins_at(self._hash_prefix + name)
 
-    def _forget_attempts(self, entry: Listing, old: bytes | None) -> None:
-        """What is listed anew, or otherwise than before, may answer again."""
-        if "a returned zone stays failing" in self.mistakes:
+    def _reset_attempts(self, entry: Listing, old_row: bytes | None) -> None:
+        """Clears the unanswered attempts of a server that is new, has restarted or was not serving."""
+        if "a returned zone stays failing" in self.injected_faults:
             return
-        same = old is not None and self._packing.started_of(old) == entry.facts.started
-        if not same or (old is not None and old[PRESENCE_AT] != ON):
+        same_start = old_row is not None and self._codec.started_of(old_row) == entry.facts.started
+        if not same_start or (old_row is not None and old_row[PRESENCE_OFFSET] != PRESENCE_ON):
             self._unanswered.pop(entry.facts.server, None)
 
     def _is_member(self, name: str) -> bool:
         row = self.rows.get(name)
-        return row is not None and row[LEVEL_AT] <= self.level
+        return row is not None and row[LEVEL_OFFSET] <= self.level
 
-    def _count(self, name: str, row: bytes, by: int) -> None:
-        """Count a server as serving at the level at which it joins, if it is so."""
-        failing = self._unanswered.get(name, 0) >= self.terms.unanswered
-        if "failing servers count as serving" in self.mistakes:
+    def _count_serving(self, name: str, row: bytes, change: int) -> None:
+        """Adds `change` to the count of serving servers for the server's level and zone, if it is serving."""
+        failing = self._unanswered.get(name, 0) >= self.settings.unanswered
+        if "failing servers count as serving" in self.injected_faults:
             failing = False
-        if row[PRESENCE_AT] == ON and not failing:
-            zones, zone = self._serving[row[LEVEL_AT]], self._packing.zone_of(row)
-            zones[zone] = zones.get(zone, 0) + by
+        if row[PRESENCE_OFFSET] == PRESENCE_ON and not failing:
+            zones, zone = self._serving[row[LEVEL_OFFSET]], self._codec.zone_of(row)
+            zones[zone] = zones.get(zone, 0) + change
 
-    # How large it is.
+    # The size of the subset.
 
-    def _settle(self, now: float) -> bool:
-        """Grow at once, shrink after a while; whether the level has changed."""
-        wanted = self._wanted()
-        if wanted == self.level:
+    def _adjust_level(self, now: float) -> bool:
+        """Grows the subset at once, or shrinks it when that is due; returns whether the level has changed."""
+        required = self._required_level()
+        if required == self.level:
             self._shrinks_at = float("inf")
             return False
-        if wanted < self.level and "it shrinks at once" not in self.mistakes:
-            self._shrinks_at = min(self._shrinks_at, now + self.terms.settle_s)
-            if now < self._shrinks_at or "it never shrinks" in self.mistakes:
+        if required < self.level and "it shrinks at once" not in self.injected_faults:
+            self._shrinks_at = min(self._shrinks_at, now + self.settings.settle_s)
+            if now < self._shrinks_at or "it never shrinks" in self.injected_faults:
                 return False
-        self.level, self._shrinks_at = wanted, float("inf")
-        for name in [one for one in self._unanswered if not self._is_member(one)]:
-            self._count(name, self.rows[name], -1)  # what nothing is sent to any more may answer again
+        self.level, self._shrinks_at = required, float("inf")
+        # Servers outside the subset get no attempts, so they can no longer be observed as failing.
+        for name in [server for server in self._unanswered if not self._is_member(server)]:
+            self._count_serving(name, self.rows[name], -1)
             del self._unanswered[name]
-            self._count(name, self.rows[name], 1)
+            self._count_serving(name, self.rows[name], 1)
         return True
 
-    def _wanted(self) -> int:
-        """The lowest level that is enough: by the list's size, by servers and zones that serve, by load."""
-        top, terms = self._descent.top, self.terms
-        if len(self.rows) <= terms.whole_up_to:
-            return top
-        self._start = start_level(self.nodes, len(self.rows), terms.size)
-        level = min(top, self._start + self.steps)
-        every = _added(self._serving)
-        alive = sum(every.values())
-        least, zones = terms.least, min(ZONES, _zones(every, alive))
-        if "shrinks below its least" in self.mistakes:
-            least = 0
-        elif alive <= least:  # all nodes alike, so that what a cold server gets of each sums to its budget
+    def _required_level(self) -> int:
+        """Returns the lowest level that suffices for the list's size, waiting requests, servers and zones."""
+        top, settings = self._descent.top, self.settings
+        if len(self.rows) <= settings.whole_up_to:
             return top
-        if "one zone is enough" in self.mistakes:
-            zones = 1
-        found = _added(self._serving[: level + 1])
-        while level < top and (sum(found.values()) < least or _zones(found, 0) < zones):
+        self._base_level = start_level(self.nodes, len(self.rows), settings.size)
+        level = min(top, self._base_level + self.steps)
+        all_serving = _sum_by_zone(self._serving)
+        alive = sum(all_serving.values())
+        min_serving, min_zones = settings.least, min(MIN_ZONES, _count_zones(all_serving, alive))
+        if "shrinks below its least" in self.injected_faults:
+            min_serving = 0
+        elif alive <= min_serving:
+            return top  # on all nodes, so that their shares of a cold server add up to its slow-start budget
+        if "one zone is enough" in self.injected_faults:
+            min_zones = 1
+        serving = _sum_by_zone(self._serving[: level + 1])
+        while level < top and (sum(serving.values()) < min_serving or _count_zones(serving, 0) < min_zones):
             level += 1
-            found = _added((found, self._serving[level]))
+            serving = _sum_by_zone((serving, self._serving[level]))
         return level
 
 
-def _added(parts: Iterable[dict[int, int]]) -> dict[int, int]:
+def _sum_by_zone(parts: Iterable[dict[int, int]]) -> dict[int, int]:
     total = dict[int, int]()
     for part in parts:
         for zone, count in part.items():
@@ -281,6 +302,6 @@
     return total
 
 
-def _zones(serving: dict[int, int], alive: int) -> int:
-    """Zones with a part of all that serve."""
+def _count_zones(serving: dict[int, int], alive: int) -> int:
+    """Returns the number of zones that have serving servers, and at least `ZONE_SHARE` of `alive`."""
     return sum(count > 0 and count >= ZONE_SHARE * alive for count in serving.values())
--- a/merlintally/subsets/records.py
+++ b/merlintally/subsets/records.py
@@ -1,4 +1,4 @@
-"""What is kept of a server outside the subset: one short row of bytes, enough to take it on at once."""
+"""Listed servers, and the packed rows that a node stores for all of them, those outside its subset too."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 Address = tuple[str, int]
 PRESENCES: tuple[Presence, ...] = ("on", "draining", "gone")
 ROW = struct.Struct("<BBIIqdd4sH")  # level, presence, zone, machine, cell, started, size, host, port
-LEVEL_AT = 0
-PRESENCE_AT = 1
-ZONE = struct.Struct("<I")
-STARTED = struct.Struct("<d")
-ON = PRESENCES.index("on")
+LEVEL_OFFSET = 0
+PRESENCE_OFFSET = 1
+ZONE_FIELD = struct.Struct("<I")
+STARTED_FIELD = struct.Struct("<d")
+PRESENCE_ON = PRESENCES.index("on")
 
 
 class Entry(NamedTuple):
-    """A server as it is listed: what the decisions are told, and where it listens."""
+    """A server as listed by discovery: its facts for the decisions, and the address it listens on."""
 
     facts: ServerFacts
     address: Address | None
 
 
 class Listing(Protocol):
-    """Whatever has the two fields of an `Entry`."""
+    """The type of list entries: any class with the two fields of `Entry`."""
 
     @property
     def facts(self) -> ServerFacts: ...
@@ -33,27 +33,29 @@
     def address(self) -> Address | None: ...
 
 
-class Words:
-    """Numbers for the few words that many rows share: zones and kinds of machine."""
+class StringTable:
+    """Numbers strings that many rows share, such as zones and machine types, in order of first use."""
 
     def __init__(self) -> None:
-        self.words, self._numbers = list[str](), dict[str, int]()
+        self.strings, self._numbers = list[str](), dict[str, int]()
 
-    def number(self, word: str) -> int:
-        found = self._numbers.get(word)
-        if found is None:
-            found = self._numbers[word] = len(self.words)
-            self.words.append(word)
-        return found
+    def number(self, string: str) -> int:
+        """Returns the number of a string; a new string is added."""
+        index = self._numbers.get(string)
+        if index is None:
+            index = self._numbers[string] = len(self.strings)
+            self.strings.append(string)
+        return index
 
 
-class Rows:
-    """Packs and unpacks rows."""
+class RowCodec:
+    """Packs list entries into rows of bytes, and unpacks them."""
 
     def __init__(self) -> None:
-        self.zones, self._machines = Words(), Words()
+        self.zones, self._machines = StringTable(), StringTable()
 
     def pack(self, level: int, entry: Listing) -> bytes:
+        """Returns the row of an entry; `level` is the lowest one whose subset contains the server."""
         facts = entry.facts
         host, port = entry.address or ("0.0.0.0", 0)
         return ROW.pack(
@@ -69,24 +71,27 @@
         )
 
     def unpack(self, name: str, row: bytes) -> Entry:
+        """Returns the entry of the server with this name."""
         _, presence, zone, machine, cell, started, size, host, port = ROW.unpack(row)
         facts = ServerFacts(
             server=name,
             presence=PRESENCES[presence],
-            zone=self.zones.words[zone],
+            zone=self.zones.strings[zone],
             cell=cell,
             started=started,
             size=size,
-            machine=self._machines.words[machine],
+            machine=self._machines.strings[machine],
         )
         return Entry(facts, (".".join(map(str, host)), port) if port else None)
 
     @staticmethod
     def zone_of(row: bytes) -> int:
-        found: int = ZONE.unpack_from(row, 2)[0]
-        return found
+        """Returns the zone's number without unpacking the row."""
+        zone: int = ZONE_FIELD.unpack_from(row, 2)[0]
+        return zone
 
     @staticmethod
     def started_of(row: bytes) -> float:
-        found: float = STARTED.unpack_from(row, 18)[0]
-        return found
+        """Returns the server's start time in Unix seconds without unpacking the row."""
+        started: float = STARTED_FIELD.unpack_from(row, 18)[0]
+        return started
