--- a/merlintally/subsets/__init__.py
+++ b/merlintally/subsets/__init__.py
@@ -1,7 +1,8 @@
-"""Subsets of app servers: each node works with a bounded part of a large fleet, so that load stays even.
+"""Deterministic subsetting: each node works with a bounded subset of a large fleet of app servers.
 
-No I/O, no clock, no chance: the same list gives the same subset on every node and at every start.
-The design, with the options weighed: docs/subsets.md.
+Subsets spread the load evenly over the servers. The package performs no I/O, reads no clock and draws no
+random numbers: the same list yields the same subset after every restart. The design is described in
+docs/subsets.md.
 """
 
 from merlintally.subsets.core import MISTAKES, USUAL, Subset, Terms
--- a/merlintally/subsets/pressure.py
+++ b/merlintally/subsets/pressure.py
@@ -1,17 +1,19 @@
-"""Whether a node's work waits for places in its subset, by its decisions (I/O-free)."""
+"""Detects requests that wait for capacity in a node's subset; performs no I/O."""
 
 from __future__ import annotations
 
 from merlintally.choice import SATURATED_LOAD_RATIO, Gateway
 
-LEAST_ROOM = 0.5  # attempts that may go out beside those that are, below which there is no room
+MIN_FREE_ATTEMPTS = 0.5  # between the attempts allowed and those in flight
 
 
 def waits_for_place(gateway: Gateway, now: float) -> bool:
-    """Whether requests wait though this node's servers answer easily: more of them have more places. Guards
-    against subsets that grow for nothing: where the whole fleet is too slow, and for requests that wait only
-    since their customer has as much out as it may. `now` is in Unix seconds."""
+    """Returns whether requests wait for capacity that more servers would provide; `now` is in Unix seconds.
+
+    False while the servers are saturated, since the whole fleet may be, and while requests wait only for the
+    concurrency limit of their customer: a larger subset would help in neither case.
+    """
     if gateway.load_ratio >= SATURATED_LOAD_RATIO or not any(gateway.queues.values()):
         return False
-    full = gateway.allowed(now) - gateway.in_flight < LEAST_ROOM
-    return full or not any(server.has_capacity(now) for server in gateway.servers.values())
+    at_limit = gateway.allowed(now) - gateway.in_flight < MIN_FREE_ATTEMPTS
+    return at_limit or not any(server.has_capacity(now) for server in gateway.servers.values())
