--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,5 +1,7 @@
-"""Lists that change at a bad moment: the stand-in for discovery holds, resets, takes back or moves its
-answers. The rows of docs/crossings.md name these tests."""
+"""Tests lists of app servers whose answers are delayed, reset, outdated or from a previous discovery address.
+
+The rows of docs/crossings.md name these tests.
+"""
 
 import socket
 from dataclasses import replace
@@ -16,14 +18,14 @@
 
 
 def test_a_start_sends_nothing_before_discovery_was_asked_once() -> None:
-    """What drained since the list that it was started with counts as told from the first moment on."""
-    old, new, heard = server(), server(), list[bytes]()
-    discovery = Standin(lambda heard: listing(new) if len(discovery.heard) == 1 else b"")
-    gone = replace(known(old, old)[1], facts=replace(known(old)[0].facts, server="old"))
-    deployment = told(known=(gone,), discovery=discovery.address)
+    """Servers that left the list after the node's initial one must not receive requests from the start."""
+    old, new, answers = server(), server(), list[bytes]()
+    discovery = Standin(lambda request: listing(new) if len(discovery.heard) == 1 else b"")
+    unlisted = replace(known(old, old)[1], facts=replace(known(old)[0].facts, server="old"))
+    deployment = told(known=(unlisted,), discovery=discovery.address)
     deployment = replace(deployment, facts=replace(deployment.facts, drain_grace=5.0))
 
-    async def act() -> None:
+    async def run_scene() -> None:
         node, discovery.gate = EdgeNode(deployment, Log("n", 9.0)), anyio.Event()
         node.bind()
         async with anyio.create_task_group() as group:
@@ -34,89 +36,92 @@
                 sock.sendall(said())
                 group.start_soon(node.serve)
                 await until(lambda: bool(discovery.heard))
-                await anyio.sleep(0.1)  # only a node that does not wait needs it, to show that it doesn't
+                await anyio.sleep(0.1)  # time in which a node that does not wait would send
                 discovery.gate.set()
-                heard.append(await Scene(node).hear(sock, until=1))
+                answers.append(await Scene(node).hear(sock, until=1))
             group.cancel_scope.cancel()
 
-    anyio.run(act)
-    assert heard == [HI] and not old.heard and len(new.heard) == 1
+    anyio.run(run_scene)
+    assert answers == [HI] and not old.heard and len(new.heard) == 1
 
 
 def test_a_list_without_a_length_that_is_reset_on_the_way_is_not_taken() -> None:
-    """It was taken as ended by the reset: half a list, of which the rest was held to be gone."""
+    """A reset must not count as the end of the list: the servers in the lost part would be removed."""
     old, new = server(), server()
     discovery = Standin(lambda heard: b"HTTP/1.1 200 OK\r\n\r\n" + listing(new).split(b"\r\n\r\n")[1])
     discovery.breaks_off = True
 
-    async def act(scene: Scene) -> None:
+    async def send_request(scene: Scene) -> None:
         await until(lambda: discovery.ends >= 1)
         assert await scene.ask(said()) == HI
 
-    log = play(told(known=known(old), discovery=discovery.address), act, old, new, discovery)
+    log = play(told(known=known(old), discovery=discovery.address), send_request, old, new, discovery)
     assert len(old.heard) == 1 and not new.heard and "reset" in log
 
 
 def test_an_answer_of_an_older_version_takes_no_drain_back() -> None:
     old, new = server(), server()
     body = listing(old, new).split(b"\r\n\r\n")[1].replace(b"SERVING", b"DRAINING", 1)
-    rows = [
+    answers = [
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body),
         listing(old, new, index=0),
     ]
-    asked = list[bytes]()
+    paths = list[bytes]()
 
-    def say(heard: bytes) -> bytes:
-        asked.append(heard.split(b" ")[1])
-        return rows[len(asked) - 1] if len(asked) <= len(rows) else b""
+    def answer_next(request: bytes) -> bytes:
+        paths.append(request.split(b" ")[1])
+        return answers[len(paths) - 1] if len(paths) <= len(answers) else b""
 
-    discovery = Standin(say)
+    discovery = Standin(answer_next)
 
-    async def act(scene: Scene) -> None:
-        await until(lambda: len(asked) == 3)
+    async def send_requests(scene: Scene) -> None:
+        await until(lambda: len(paths) == 3)
         for _ in range(6):
             assert await scene.ask(said()) == HI
 
-    log = play(told(discovery=discovery.address), act, old, new, discovery)
-    assert not old.heard and new.heard and "older" in log and asked[2] == b"/v1/servers"
+    log = play(told(discovery=discovery.address), send_requests, old, new, discovery)
+    assert not old.heard and new.heard and "older" in log and paths[2] == b"/v1/servers"
 
 
 def test_an_answer_that_crosses_a_move_of_discovery_is_not_taken() -> None:
-    """Versions at the new address are others: an old answer's hid what the new one had to tell."""
+    """Versions of two addresses are unrelated: the old one would hide updates from the new address."""
     dispatcher = Mock(post=AsyncMock())
 
-    async def get(discovery: Discovery, *call: object) -> bytes:
+    async def get_after_move(discovery: Discovery, *call: object) -> bytes:
         discovery.set_address(("127.0.0.1", 2))
         return listing(index=9).split(b"\r\n\r\n")[1]
 
-    async def follow() -> int | None:
+    async def follow_once() -> int | None:
         discovery = Discovery(("127.0.0.1", 1), 3, Bounds(), dispatcher, Mock(), Log("n", 9.0))
         await discovery._follow()
         return discovery.version
 
-    with patch("merlintally.net.discovery.connect", AsyncMock()), patch.object(Discovery, "_get", get):
-        assert anyio.run(follow) is None
+    with (
+        patch("merlintally.net.discovery.connect", AsyncMock()),
+        patch.object(Discovery, "_get", get_after_move),
+    ):
+        assert anyio.run(follow_once) is None
     assert not dispatcher.post.called
 
 
 def test_an_agent_of_the_machine_that_is_silent_is_not_asked_ever_less() -> None:
-    """What it gets at its return counts as told at once: a pause grown over its outage would miss that."""
+    """A local agent's updates count as received as soon as it is back, so the retry delay must stay short."""
 
-    async def pauses(local: bool) -> list[float]:
+    async def retry_delays(local: bool) -> list[float]:
         discovery = Discovery(("127.0.0.1", 1), 3, Bounds(), Mock(), Random(1), Log("n", 9.0), local)
         return [discovery.backoff.delay_after_failure() for _ in range(20)]
 
-    assert max(anyio.run(pauses, True)) <= Bounds().again_s < 1.0 < max(anyio.run(pauses, False))
+    assert max(anyio.run(retry_delays, True)) <= Bounds().again_s < 1.0 < max(anyio.run(retry_delays, False))
 
 
 def test_whether_lists_are_pushed_is_read_from_the_settings() -> None:
-    given = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "f"}
+    configuration = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "f"}
     settings = {
         "classes": [{"name": "a", "aimS": 1, "deadlineS": 2, "repeat": "once"}],
         "tariffs": [{"name": "p", "unitsPerS": 1, "mostAtOnce": 1}],
         "familyInfo": {"largest": 6},
     }
     assert [
-        parse_deployment({**given, "settings": {**settings, **more}}, {}).pushed
-        for more in ({}, {"discovery": "pushed"}, {"discovery": "on_request"})
+        parse_deployment({**configuration, "settings": {**settings, **extra}}, {}).pushed
+        for extra in ({}, {"discovery": "pushed"}, {"discovery": "on_request"})
     ] == [False, True, False]
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -1,4 +1,6 @@
-"""Subsets of app servers: the hash, growing and shrinking, schedules with planted mistakes, the wiring."""
+"""Tests the subsets of app servers: hashing, growth and shrinkage, simulated schedules with injected faults,
+and their use by a node.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,7 @@
 from merlintally.operators import read_operators
 from merlintally.subsets import MISTAKES, USUAL, Descent, Entry, Subset, Terms, levels_of, start_level
 
-FOUND = {  # planted mistakes, with the seed of the first schedule that shows each
+FIRST_FAILING_SEEDS = {  # of the schedules, by injected fault
     "each node has its own hash": 0,
     "shrinks below its least": 1,
     "a drained server is kept": 0,
@@ -37,8 +39,8 @@
     "it shrinks at once": 1,
     "it never shrinks": 1,
 }
-SMALL = Terms(size=12, whole_up_to=20, least=6, settle_s=4.0, pressed_s=0.5)
-NODES = 8  # with SMALL and 60 servers: two subsets a server, of about 15 each
+SMALL_TERMS = Terms(size=12, whole_up_to=20, least=6, settle_s=4.0, pressed_s=0.5)
+NODES = 8  # with SMALL_TERMS and 60 servers: each server is in two subsets of about 15 servers
 
 
 def entries(count: int, zones: int = 3, first: int = 0) -> list[Entry]:
@@ -56,9 +58,9 @@
     return entry._replace(facts=replace(entry.facts, presence=presence))  # type: ignore[arg-type]
 
 
-def small(count: int = 60, number: int = 0) -> tuple[Subset, list[Entry]]:
-    """A node's subset of a list that is too long for it."""
-    subset, listed = Subset(number, NODES, SMALL), entries(count)
+def small_subset(count: int = 60, number: int = 0) -> tuple[Subset, list[Entry]]:
+    """Returns the subset of a node, of a list that is too long to be used whole, and the list."""
+    subset, listed = Subset(number, NODES, SMALL_TERMS), entries(count)
     subset.listed(0.0, listed, True)
     return subset, listed
 
@@ -67,29 +69,30 @@
     return {entry.facts.server for entry in subset.members()}
 
 
-# The hash.
+# Hashing.
 
 
 @pytest.mark.parametrize("nodes", [2, 3, 20, 37, 64])
-def test_each_server_is_in_as_many_subsets_as_any_other_and_levels_are_nested(nodes: int) -> None:
+def test_servers_are_in_equally_many_subsets_and_levels_are_nested(nodes: int) -> None:
     descents = [Descent(number, nodes) for number in range(nodes)]
     for name in names_of(50):
-        joins = [descent.joins_at(name) for descent in descents]
-        assert joins == [joined(name, number, nodes) for number in range(nodes)]
+        join_levels = [descent.joins_at(name) for descent in descents]
+        assert join_levels == [joined(name, number, nodes) for number in range(nodes)]
         for level in range(levels_of(nodes) + 1):
-            assert sum(join <= level for join in joins) == min(nodes, 1 << level)
+            assert sum(join_level <= level for join_level in join_levels) == min(nodes, 1 << level)
 
 
 def test_a_server_has_exactly_one_node_in_each_class() -> None:
     descents, level = [Descent(number, 37) for number in range(37)], 3
     for name in names_of(50):
-        found = [number % 8 for number, descent in enumerate(descents) if descent.joins_at(name) <= level]
-        assert sorted(found) == list(range(8))
+        class_indexes = [
+            number % 8 for number, descent in enumerate(descents) if descent.joins_at(name) <= level
+        ]
+        assert sorted(class_indexes) == list(range(8))
 
 
 @pytest.mark.parametrize(("nodes", "servers"), [(20, 600), (200, 2000)])
-def test_load_is_even_and_changes_move_little(nodes: int, servers: int) -> None:
-    """Bounds somewhat above what was measured: docs/subsets.md."""
+def test_load_is_even_and_changes_move_few_servers(nodes: int, servers: int) -> None:
     listed, pairs = names_of(servers), servers << start_level(nodes, servers, 128)
     before = all_subsets(classes, nodes, listed, 128)
     held = Counter(server for shares in before for server in shares)
@@ -100,42 +103,44 @@
     assert moved(before, all_subsets(classes, nodes + 1, listed, 128)) < 3 / nodes + 0.06
 
 
-def test_a_node_that_is_none_of_them_is_refused() -> None:
+def test_a_node_number_out_of_range_is_rejected() -> None:
     with pytest.raises(ValueError, match="node number 8 must be at least 0 and less than 8"):
         Descent(8, 8)
 
 
-# Growing and shrinking.
+# Growth and shrinkage.
 
 
-def test_a_list_that_is_short_goes_through_as_it_came() -> None:
+def test_a_short_list_is_passed_on_unchanged() -> None:
     subset, listed = Subset(0, 670, USUAL), entries(USUAL.whole_up_to)
     assert subset.listed(0.0, listed, True) == (listed, True) and subset.whole and not subset.bounded
     change = [changed(listed[0], "draining"), changed(entries(1, first=900)[0], "gone")]
-    told_now, complete = subset.listed(1.0, change, False)
-    assert told_now is change and not complete and subset.sharing == 670
+    updates, complete = subset.listed(1.0, change, False)
+    assert updates is change and not complete and subset.sharing == 670
     assert not any((subset.reported(2.0, "s1", False), subset.pressed(2.0, True), subset.wake(9e9)))
 
 
-def test_a_short_list_makes_no_difference_to_any_decision() -> None:
+def test_a_short_list_changes_no_decision() -> None:
     case = Case(4, 40, None, load=0.9, warm_s=0.0, length_s=1.5)
-    without, beside = (Play(one).run() for one in (case, replace(case, terms=USUAL)))
-    assert without.taken > 300 and replace(without, busy_s=0.0) == replace(beside, busy_s=0.0)
+    without_subset, with_subset = (Play(each_case).run() for each_case in (case, replace(case, terms=USUAL)))
+    assert without_subset.taken > 300 and replace(without_subset, busy_s=0.0) == replace(
+        with_subset, busy_s=0.0
+    )
 
 
-def test_a_list_that_becomes_long_is_left_whole_for_a_while_and_far_too_long_at_once() -> None:
-    subset = Subset(0, NODES, SMALL)
-    subset.listed(0.0, entries(SMALL.whole_up_to), True)
+def test_a_list_that_becomes_long_shrinks_the_subset_after_settling_or_at_once_if_very_long() -> None:
+    subset = Subset(0, NODES, SMALL_TERMS)
+    subset.listed(0.0, entries(SMALL_TERMS.whole_up_to), True)
     subset.listed(1.0, entries(10, first=20), False)
     assert subset.whole and not subset.wake(4.9) and subset.wake(5.0) and not subset.whole
-    other = Subset(0, NODES, SMALL)
-    other.listed(0.0, entries(SMALL.whole_up_to), True)
-    rows, complete = other.listed(1.0, entries(60), True)
-    assert complete and names(list(rows)) == members(small()[0])
+    very_long = Subset(0, NODES, SMALL_TERMS)
+    very_long.listed(0.0, entries(SMALL_TERMS.whole_up_to), True)
+    rows, complete = very_long.listed(1.0, entries(60), True)
+    assert complete and names(list(rows)) == members(small_subset()[0])
 
 
-def test_changes_outside_the_subset_are_told_to_nobody() -> None:
-    subset, listed = small()
+def test_changes_outside_the_subset_are_not_published() -> None:
+    subset, listed = small_subset()
     inside = members(subset)
     for entry in listed:
         change = changed(entry, "draining")
@@ -145,55 +150,54 @@
         subset.listed(1.0, [entry], False)
 
 
-def test_servers_that_drain_are_made_up_for_at_once_and_given_back_after_a_while() -> None:
-    subset, listed = small()
+def test_the_subset_grows_at_once_for_draining_servers_and_shrinks_after_settling() -> None:
+    subset, listed = small_subset()
     inside = members(subset)
-    drained = [changed(one, "draining") for one in listed if one.facts.server in inside][SMALL.least :]
+    drained = [changed(one, "draining") for one in listed if one.facts.server in inside][SMALL_TERMS.least :]
     drained += [changed(one, "draining") for one in listed if one.facts.server in inside][:4]
     rows, complete = subset.listed(1.0, drained, False)
     serving = [row for row in rows if row.facts.presence == "on"]
-    assert complete and len(serving) >= SMALL.least and members(subset) > inside
+    assert complete and len(serving) >= SMALL_TERMS.least and members(subset) > inside
     subset.listed(2.0, listed, False)
     assert members(subset) > inside and not subset.wake(5.9)
     assert subset.wake(6.0) and members(subset) == inside
 
 
-def test_servers_that_do_not_answer_are_made_up_for_until_they_do() -> None:
-    subset, _ = small()
+def test_the_subset_grows_for_failing_servers_until_they_answer() -> None:
+    subset, _ = small_subset()
     inside = sorted(members(subset))
-    lost = inside[SMALL.least - 1 :]
-    grown = [subset.reported(1.0, name, False) for name in lost * SMALL.unanswered]
+    failing = inside[SMALL_TERMS.least - 1 :]
+    grown = [subset.reported(1.0, name, False) for name in failing * SMALL_TERMS.unanswered]
     assert grown.count(True) >= 1 and grown[-1] and members(subset) > set(inside)
     assert not subset.wake(50.0)
-    assert not any(subset.reported(60.0, name, True) for name in lost)
+    assert not any(subset.reported(60.0, name, True) for name in failing)
     assert subset.wake(64.0) and members(subset) == set(inside)
 
 
-def test_a_subset_in_one_zone_takes_on_others() -> None:
-    subset, listed = small()
-    away = [changed(one, "draining") for one in listed if one.facts.zone != "z0"]
-    kept = [one for one in away if one.facts.server not in members(subset)]
-    subset.listed(1.0, away, False)
-    subset.listed(2.0, [changed(one, "on") for one in kept], False)
+def test_a_subset_with_one_serving_zone_grows_to_a_second() -> None:
+    subset, listed = small_subset()
+    other_zones = [changed(one, "draining") for one in listed if one.facts.zone != "z0"]
+    outside = [one for one in other_zones if one.facts.server not in members(subset)]
+    subset.listed(1.0, other_zones, False)
+    subset.listed(2.0, [changed(one, "on") for one in outside], False)
     serving = [one for one in subset.members() if one.facts.presence == "on"]
-    assert len({one.facts.zone for one in serving}) >= 2 and len(serving) >= SMALL.least
+    assert len({one.facts.zone for one in serving}) >= 2 and len(serving) >= SMALL_TERMS.least
 
 
-def test_all_that_are_alive_are_used_where_they_are_fewer_than_the_least() -> None:
-    subset, listed = small()
+def test_the_whole_list_is_used_if_fewer_servers_serve_than_the_minimum() -> None:
+    subset, listed = small_subset()
     subset.listed(1.0, [changed(one, "draining") for one in listed[:-3]], False)
     assert subset.whole and members(subset) == names(listed)
 
 
-def test_work_that_waits_grows_a_subset_step_by_step_to_a_bound() -> None:
-    subset, _ = small()
+def test_waiting_requests_grow_the_subset_level_by_level_to_a_limit() -> None:
+    subset, _ = small_subset()
     sizes = [len(subset.members())]
     for at in range(40):
         if subset.pressed(at * 0.2, True):
             sizes.append(len(subset.members()))
-    assert (
-        sizes == sorted(set(sizes)) and len(sizes) == 3 and subset.sharing == 2
-    )  # the others have not grown
+    # Other nodes don't have the levels that this node has added.
+    assert sizes == sorted(set(sizes)) and len(sizes) == 3 and subset.sharing == 2
     subset.pressed(10.0, False)
     assert not subset.pressed(13.9, False) and subset.level == 3
     for at in range(10):
@@ -202,8 +206,8 @@
     assert len(subset.members()) == sizes[0]
 
 
-def test_what_is_kept_of_a_server_comes_back_as_it_was_listed() -> None:
-    subset, _ = small()
+def test_packed_rows_unpack_to_the_listed_entries() -> None:
+    subset, _ = small_subset()
     facts = replace(SERVER, server="x", zone="far", cell=7, started=123.25, size=2.5, machine="big")
     rows = {entry.facts.server: entry for entry in subset.members()}
     for level in range(20):
@@ -217,7 +221,7 @@
 # Schedules.
 
 
-def test_no_schedule_breaks_what_is_promised() -> None:
+def test_no_schedule_breaks_an_invariant() -> None:
     counts = Counter[str]()
     broken = dict[int, list[str]]()
     for seed in range(100):
@@ -232,211 +236,229 @@
     assert play(0).counts["changes"] >= 1000
 
 
-def test_every_mistake_has_a_schedule() -> None:
-    assert set(FOUND) == set(MISTAKES) and len(set(MISTAKES)) == len(MISTAKES)
+def test_every_injected_fault_has_a_schedule() -> None:
+    assert set(FIRST_FAILING_SEEDS) == set(MISTAKES) and len(set(MISTAKES)) == len(MISTAKES)
 
 
-@pytest.mark.parametrize("mistake", FOUND)
-def test_a_planted_mistake_is_found(mistake: str) -> None:
-    assert any(play(seed, (mistake,)).broken for seed in range(FOUND[mistake] + 1))
+@pytest.mark.parametrize("fault", FIRST_FAILING_SEEDS)
+def test_an_injected_fault_is_detected(fault: str) -> None:
+    assert any(play(seed, (fault,)).broken for seed in range(FIRST_FAILING_SEEDS[fault] + 1))
 
 
-# Room, and the cold.
+# Capacity and slow start.
 
 
-def test_nothing_is_refused_while_the_fleet_has_room() -> None:
+def test_few_requests_are_refused_while_the_fleet_has_capacity() -> None:
     terms = Terms(size=24, whole_up_to=40, least=12)
-    found = Play(Case(10, 100, terms, load=0.7, warm_s=1.0, length_s=1.5)).run()
-    assert found.taken > 500 and found.refused <= 0.04 * found.taken and found.largest < 100
+    result = Play(Case(10, 100, terms, load=0.7, warm_s=1.0, length_s=1.5)).run()
+    assert result.taken > 500 and result.refused <= 0.04 * result.taken and result.largest < 100
 
 
-def test_a_node_with_most_of_the_work_grows_its_subset_and_refuses_little() -> None:
+def test_a_node_with_most_of_the_load_grows_its_subset_and_refuses_few_requests() -> None:
     terms = Terms(size=24, whole_up_to=40, least=12, pressed_s=0.5)
     case = Case(16, 200, terms, load=0.6, hot_share=1 / 16, hot=20.0, warm_s=4.0, length_s=1.0)
-    found, without = (Play(one).run() for one in (case, replace(case, grows=False)))
-    assert found.refused <= 0.04 * found.taken < 0.2 * without.taken < without.refused
+    growing, fixed = (Play(each_case).run() for each_case in (case, replace(case, grows=False)))
+    assert growing.refused <= 0.04 * growing.taken < 0.2 * fixed.taken < fixed.refused
 
 
-def test_all_nodes_together_send_a_cold_server_no_more_than_is_stated() -> None:
-    """All take on all servers at once, as after the loss of most: each budget is a part of one server's."""
-    nodes, answers, warm, fresh = 40, 30.0, entries(200), entries(20, first=200)
-    cold = [one._replace(facts=replace(one.facts, started=100.0)) for one in fresh]
+def test_all_nodes_together_stay_within_the_budget_of_a_cold_server() -> None:
+    """All nodes add all servers at once, as after the loss of most: their budgets add up to one server's."""
+    nodes, answers_per_s, warm, replacements = 40, 30.0, entries(200), entries(20, first=200)
+    cold = [one._replace(facts=replace(one.facts, started=100.0)) for one in replacements]
     sent, facts = 0, gateway().facts
     for number in range(nodes):
-        made, subset = gateway(gateways=nodes), Subset(number, nodes, SMALL)
-        made.random.seed(number)
+        decisions, subset = gateway(gateways=nodes), Subset(number, nodes, SMALL_TERMS)
+        decisions.random.seed(number)
         for now, listed in (
             (99.0, warm),
             (100.0, [*(changed(one, "draining") for one in warm[3:]), *cold[:3]]),
         ):
             rows, complete = subset.listed(now, listed, now == 99.0)
-            if subset.sharing != made.gateways_per_server:
-                made.share(subset.sharing)
-            made.roster(now, [row.facts for row in rows], complete)
+            if subset.sharing != decisions.gateways_per_server:
+                decisions.share(subset.sharing)
+            decisions.roster(now, [row.facts for row in rows], complete)
         assert subset.whole
-        made.roster(100.0, [one.facts for one in cold], complete=False)
-        for at in range(10 * int(answers)):
-            made.recent_successes.add(90.0 + at / answers, 1.0)
+        decisions.roster(100.0, [one.facts for one in cold], complete=False)
+        for at in range(10 * int(answers_per_s)):
+            decisions.recent_successes.add(90.0 + at / answers_per_s, 1.0)
         for one in cold:
-            server_there = made.servers[one.facts.server]
-            while made._slow_start_allows(100.1, server_there):
-                made.slow_start.record_send(one.facts.server, 100.0)
+            server_state = decisions.servers[one.facts.server]
+            while decisions._slow_start_allows(100.1, server_state):
+                decisions.slow_start.record_send(one.facts.server, 100.0)
                 sent += 1
-    able = nodes * answers / (len(warm) + len(cold)) * facts.tip_window  # of one server, within the window
-    assert 0.2 < sent / len(cold) / (facts.tip_multiple * facts.cold_share * able) <= 1
+    capacity = nodes * answers_per_s / (len(warm) + len(cold)) * facts.tip_window  # of one server
+    assert 0.2 < sent / len(cold) / (facts.tip_multiple * facts.cold_share * capacity) <= 1
 
 
-# The node.
+# Use by a node.
 
 
-def keeper_of(terms: Terms | None, count: int, shown: bool = False) -> Dispatcher:
-    """A dispatcher that has heard a list; what it would do on sockets is kept from it."""
+def dispatcher_with_list(terms: Terms | None, count: int, shown: bool = False) -> Dispatcher:
+    """Returns a dispatcher, without connections, that has received a list of `count` servers."""
     deployment = told(subsets=terms)
     facts = replace(deployment.facts, number=3, gateways=NODES)
-    made = Dispatcher(replace(deployment, facts=facts), Clock(), Log("n", 9.0))
-    made.fleet = FleetStandin()  # type: ignore[assignment]
-    made.shown = {} if shown else None
-    made.listed([ListedServer(*entry) for entry in entries(count)], True)
-    return made
+    dispatcher = Dispatcher(replace(deployment, facts=facts), Clock(), Log("n", 9.0))
+    dispatcher.fleet = RecordingFleet()  # type: ignore[assignment]
+    dispatcher.shown = {} if shown else None
+    dispatcher.listed([ListedServer(*entry) for entry in entries(count)], True)
+    return dispatcher
 
 
-class FleetStandin:
-    """Keeps what it is told."""
+class RecordingFleet:
+    """Records the updates that it receives."""
 
     def __init__(self) -> None:
-        self.told = list[tuple[set[str], bool]]()
+        self.updates = list[tuple[set[str], bool]]()
 
     def update_servers(self, rows: Sequence[ListedServer], complete: bool) -> None:
-        self.told.append((names(rows), complete))
+        self.updates.append((names(rows), complete))
 
 
-def test_the_decisions_know_the_subset_alone() -> None:
-    made = keeper_of(SMALL, 60)
-    assert made.subset is not None
-    inside = members(made.subset)
-    assert set(made.gateway.servers) == inside == members(small(number=3)[0]) and 6 <= len(inside) < 30
-    assert made.gateway.gateways_per_server == 2 and made.gateway.servers[min(inside)].concurrency == 1.5
-    assert made.fleet.told == [(inside, True)]  # type: ignore[attr-defined]
+def test_the_decisions_receive_only_the_subset() -> None:
+    dispatcher = dispatcher_with_list(SMALL_TERMS, 60)
+    assert dispatcher.subset is not None
+    inside = members(dispatcher.subset)
+    assert (
+        set(dispatcher.gateway.servers) == inside == members(small_subset(number=3)[0])
+        and 6 <= len(inside) < 30
+    )
+    assert (
+        dispatcher.gateway.gateways_per_server == 2
+        and dispatcher.gateway.servers[min(inside)].concurrency == 1.5
+    )
+    assert dispatcher.fleet.updates == [(inside, True)]  # type: ignore[attr-defined]
 
 
-def test_off_or_short_the_decisions_know_the_list() -> None:
-    for made in (keeper_of(None, 60), keeper_of(USUAL, 60)):
-        assert len(made.gateway.servers) == 60 and made.gateway.gateways_per_server == NODES
-    strange = told()
-    assert subset_of(replace(strange, facts=replace(strange.facts, number=9))) is None
+def test_the_decisions_receive_the_whole_list_if_subsets_are_off_or_it_is_short() -> None:
+    for dispatcher in (dispatcher_with_list(None, 60), dispatcher_with_list(USUAL, 60)):
+        assert len(dispatcher.gateway.servers) == 60 and dispatcher.gateway.gateways_per_server == NODES
+    unnumbered = told()
+    assert subset_of(replace(unnumbered, facts=replace(unnumbered.facts, number=9))) is None
 
 
-def test_a_machine_that_is_taken_out_is_made_up_for() -> None:
-    made = keeper_of(SMALL, 60, shown=True)
-    assert made.subset is not None
-    inside = members(made.subset)
-    made.take_out(frozenset(inside))
-    on = {name for name, one in made.gateway.servers.items() if one.presence == "on"}
-    assert len(on) >= SMALL.least and not on & inside
+def test_the_subset_grows_for_a_machine_taken_out_of_service() -> None:
+    dispatcher = dispatcher_with_list(SMALL_TERMS, 60, shown=True)
+    assert dispatcher.subset is not None
+    inside = members(dispatcher.subset)
+    dispatcher.take_out(frozenset(inside))
+    on = {name for name, one in dispatcher.gateway.servers.items() if one.presence == "on"}
+    assert len(on) >= SMALL_TERMS.least and not on & inside
 
 
-def test_a_subset_that_shrinks_leaves_the_others_to_end() -> None:
-    made = keeper_of(SMALL, 60)
-    assert made.subset is not None
-    inside, now = members(made.subset), made.clock.now()
-    made.listed(
+def test_attempts_in_flight_continue_at_servers_that_leave_the_subset() -> None:
+    dispatcher = dispatcher_with_list(SMALL_TERMS, 60)
+    assert dispatcher.subset is not None
+    inside, now = members(dispatcher.subset), dispatcher.clock.now()
+    dispatcher.listed(
         [ListedServer(*changed(one, "draining")) for one in entries(60) if one.facts.server in inside], False
     )
-    grown = set(made.gateway.servers)
-    busy = made.gateway.servers[min(grown - inside)]
-    busy.in_flight[1, 0] = (now, next(iter(made.gateway.lanes.values())), 1.0)
-    made.listed([ListedServer(*one) for one in entries(60) if one.facts.server in inside], False)
-    assert set(made.gateway.servers) == grown
-    made.subset._shrinks_at = now
-    made._fit_subset()
-    assert set(made.gateway.servers) == {*inside, busy.name} and busy.presence == "gone"
+    grown = set(dispatcher.gateway.servers)
+    busy = dispatcher.gateway.servers[min(grown - inside)]
+    busy.in_flight[1, 0] = (now, next(iter(dispatcher.gateway.lanes.values())), 1.0)
+    dispatcher.listed([ListedServer(*one) for one in entries(60) if one.facts.server in inside], False)
+    assert set(dispatcher.gateway.servers) == grown
+    dispatcher.subset._shrinks_at = now
+    dispatcher._fit_subset()
+    assert set(dispatcher.gateway.servers) == {*inside, busy.name} and busy.presence == "gone"
 
 
-class Line:
-    """Stands in for a request that waits; the decisions drop it as soon as they look at it."""
+class WaitingRequest:
+    """Stands in for a waiting request; its client has closed, so the decisions drop it."""
 
     closed = True
 
 
-def test_work_that_waits_while_servers_answer_easily_grows_the_subset() -> None:
-    made = keeper_of(SMALL._replace(pressed_s=1e-9), 60)
-    before = len(made.gateway.servers)
-    made._fit_subset()
-    assert len(made.gateway.servers) == before
-    next(iter(made.gateway.queues.values())).append(Line())  # type: ignore[arg-type]
-    made._fit_subset()
-    made._fit_subset()
-    assert len(made.gateway.servers) == before  # places are free: it waits for something else
-    made.gateway.in_flight = 1000
-    made.gateway.load_ratio = 2.0  # the servers answer slowly: it may be so everywhere
-    made._fit_subset()
-    made._fit_subset()
-    assert len(made.gateway.servers) == before
-    made.gateway.load_ratio = 1.0
-    made._fit_subset()
-    made._fit_subset()
-    assert len(made.gateway.servers) > before and made.gateway.gateways_per_server == 2
-
-
-Act = Callable[[Scene, Dispatcher], Awaitable[None]]
-
-
-def run_node(
-    standins: Sequence[Standin], terms: Terms, nodes: int, asks: int, act_more: Act | None = None
+def test_requests_that_wait_while_servers_are_not_saturated_grow_the_subset() -> None:
+    dispatcher = dispatcher_with_list(SMALL_TERMS._replace(pressed_s=1e-9), 60)
+    before = len(dispatcher.gateway.servers)
+    dispatcher._fit_subset()
+    assert len(dispatcher.gateway.servers) == before
+    next(iter(dispatcher.gateway.queues.values())).append(WaitingRequest())  # type: ignore[arg-type]
+    dispatcher._fit_subset()
+    dispatcher._fit_subset()
+    assert len(dispatcher.gateway.servers) == before  # capacity is free: the request waits for another reason
+    dispatcher.gateway.in_flight = 1000
+    dispatcher.gateway.load_ratio = 2.0  # the servers are saturated, and others may be, too
+    dispatcher._fit_subset()
+    dispatcher._fit_subset()
+    assert len(dispatcher.gateway.servers) == before
+    dispatcher.gateway.load_ratio = 1.0
+    dispatcher._fit_subset()
+    dispatcher._fit_subset()
+    assert len(dispatcher.gateway.servers) > before and dispatcher.gateway.gateways_per_server == 2
+
+
+WhileRunning = Callable[[Scene, Dispatcher], Awaitable[None]]
+
+
+def run_subset_node(
+    standins: Sequence[Standin],
+    terms: Terms,
+    nodes: int,
+    requests: int,
+    while_running: WhileRunning | None = None,
 ) -> tuple[list[bytes], list[int], list[Dispatcher]]:
-    """A node of `nodes` with the stand-ins listed by discovery; how each was heard, and its dispatcher."""
-    discovery = Standin(lambda heard: listing(*standins) if len(discovery.heard) == 1 else b"")
+    """Runs a node, one of `nodes`, whose discovery lists the stand-ins, and sends it `requests` requests.
+
+    Returns its answers, the count of requests that each stand-in received, and its dispatcher.
+    """
+    discovery = Standin(lambda request: listing(*standins) if len(discovery.heard) == 1 else b"")
     deployment = told(known=known(*standins), discovery=discovery.address, subsets=terms)
     deployment = replace(deployment, facts=replace(deployment.facts, gateways=nodes, number=0))
-    heard, dispatchers = list[bytes](), list[Dispatcher]()
+    answers, dispatchers = list[bytes](), list[Dispatcher]()
 
-    async def part(node: EdgeNode, dispatcher: Dispatcher) -> None:
+    async def record_dispatcher(node: EdgeNode, dispatcher: Dispatcher) -> None:
         dispatchers.append(dispatcher)
         await anyio.sleep_forever()
 
-    async def act() -> None:
-        node = EdgeNode(deployment, Log("n", 1000.0, io.StringIO()), [part])
+    async def run_scene() -> None:
+        node = EdgeNode(deployment, Log("n", 1000.0, io.StringIO()), [record_dispatcher])
         async with anyio.create_task_group() as group:
             for standin in (*standins, discovery):
                 group.start_soon(standin.run)
             await group.start(node.serve)
             await until(lambda: bool(dispatchers))
-            for _ in range(asks):
-                heard.append(await Scene(node).ask(said()))
-            if act_more is not None:
-                await act_more(Scene(node), dispatchers[0])
+            for _ in range(requests):
+                answers.append(await Scene(node).ask(said()))
+            if while_running is not None:
+                await while_running(Scene(node), dispatchers[0])
             group.cancel_scope.cancel()
 
-    anyio.run(act)
+    anyio.run(run_scene)
     for standin in (*standins, discovery):
         standin.sock.close()
-    return heard, [len(standin.heard) for standin in standins], dispatchers
+    return answers, [len(standin.heard) for standin in standins], dispatchers
 
 
-def test_a_node_sends_to_its_subset_alone() -> None:
+def test_a_node_sends_only_to_its_subset() -> None:
     terms = Terms(size=4, whole_up_to=5, least=2)
     standins = [server() for _ in range(16)]
-    heard, sent, (dispatcher,) = run_node(standins, terms, 8, 30)
+    answers, requests_by_server, (dispatcher,) = run_subset_node(standins, terms, 8, 30)
     inside = {int(name[1:]) for name in dispatcher.gateway.servers}
-    assert heard == [HI] * 30 and 2 <= len(inside) < 10
-    assert all((at in inside) or not count for at, count in enumerate(sent)) and sum(sent) == 30
+    assert answers == [HI] * 30 and 2 <= len(inside) < 10
+    assert (
+        all((at in inside) or not count for at, count in enumerate(requests_by_server))
+        and sum(requests_by_server) == 30
+    )
 
 
-def test_a_node_whose_subset_falls_silent_takes_on_others() -> None:
+def test_a_node_grows_its_subset_if_its_servers_do_not_answer() -> None:
     terms = Terms(size=4, whole_up_to=5, least=2, unanswered=1)
     joins = [Descent(0, 8).joins_at(f"s{at}") for at in range(16)]
     standins = [server(None) if join <= 1 else server() for join in joins]
-    heard, sent, (dispatcher,) = run_node(standins, terms, 8, 30)
+    answers, requests_by_server, (dispatcher,) = run_subset_node(standins, terms, 8, 30)
     assert dispatcher.subset is not None and dispatcher.subset.level > 1
-    assert heard.count(HI) >= 20 and any(count for join, count in zip(joins, sent, strict=True) if join > 1)
+    assert answers.count(HI) >= 20 and any(
+        count for join, count in zip(joins, requests_by_server, strict=True) if join > 1
+    )
 
 
-def test_an_attempt_at_a_server_that_leaves_the_subset_is_answered_and_no_other_begins() -> None:
+def test_an_attempt_at_a_server_that_leaves_the_subset_is_answered_and_no_other_starts() -> None:
     terms = Terms(size=4, whole_up_to=5, least=2)
     standins = [server() for _ in range(16)]
     answers = list[bytes]()
 
-    async def act(scene: Scene, dispatcher: Dispatcher) -> None:
+    async def remove_all_servers(scene: Scene, dispatcher: Dispatcher) -> None:
         gate = anyio.Event()
         for standin in standins:
             standin.gate = gate
@@ -450,7 +472,7 @@
             answers.append(await scene.hear(sock, until=1))
             assert sum(len(standin.heard) for standin in standins) == 1 and len(dispatcher.open_requests) == 1
 
-    run_node(standins, terms, 8, 0, act)
+    run_subset_node(standins, terms, 8, 0, remove_all_servers)
     assert answers == [HI]
 
 
