--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -39,8 +39,8 @@
     "it shrinks at once": 1,
     "it never shrinks": 1,
 }
-SMALL_TERMS = Terms(size=12, whole_up_to=20, least=6, settle_s=4.0, pressed_s=0.5)
-NODES = 8  # with SMALL_TERMS and 60 servers: each server is in two subsets of about 15 servers
+SMALL_SETTINGS = Terms(size=12, whole_up_to=20, least=6, settle_s=4.0, pressed_s=0.5)
+NODES = 8  # with SMALL_SETTINGS and 60 servers: each server is in two subsets of about 15 servers
 
 
 def entries(count: int, zones: int = 3, first: int = 0) -> list[Entry]:
@@ -60,7 +60,7 @@
 
 def small_subset(count: int = 60, number: int = 0) -> tuple[Subset, list[Entry]]:
     """Returns the subset of a node, of a list that is too long to be used whole, and the list."""
-    subset, listed = Subset(number, NODES, SMALL_TERMS), entries(count)
+    subset, listed = Subset(number, NODES, SMALL_SETTINGS), entries(count)
     subset.listed(0.0, listed, True)
     return subset, listed
 
@@ -129,12 +129,12 @@
 
 
 def test_a_list_that_becomes_long_shrinks_the_subset_after_settling_or_at_once_if_very_long() -> None:
-    subset = Subset(0, NODES, SMALL_TERMS)
-    subset.listed(0.0, entries(SMALL_TERMS.whole_up_to), True)
+    subset = Subset(0, NODES, SMALL_SETTINGS)
+    subset.listed(0.0, entries(SMALL_SETTINGS.whole_up_to), True)
     subset.listed(1.0, entries(10, first=20), False)
     assert subset.whole and not subset.wake(4.9) and subset.wake(5.0) and not subset.whole
-    very_long = Subset(0, NODES, SMALL_TERMS)
-    very_long.listed(0.0, entries(SMALL_TERMS.whole_up_to), True)
+    very_long = Subset(0, NODES, SMALL_SETTINGS)
+    very_long.listed(0.0, entries(SMALL_SETTINGS.whole_up_to), True)
     rows, complete = very_long.listed(1.0, entries(60), True)
     assert complete and names(list(rows)) == members(small_subset()[0])
 
@@ -153,11 +153,13 @@
 def test_the_subset_grows_at_once_for_draining_servers_and_shrinks_after_settling() -> None:
     subset, listed = small_subset()
     inside = members(subset)
-    drained = [changed(one, "draining") for one in listed if one.facts.server in inside][SMALL_TERMS.least :]
+    drained = [changed(one, "draining") for one in listed if one.facts.server in inside][
+        SMALL_SETTINGS.least :
+    ]
     drained += [changed(one, "draining") for one in listed if one.facts.server in inside][:4]
     rows, complete = subset.listed(1.0, drained, False)
     serving = [row for row in rows if row.facts.presence == "on"]
-    assert complete and len(serving) >= SMALL_TERMS.least and members(subset) > inside
+    assert complete and len(serving) >= SMALL_SETTINGS.least and members(subset) > inside
     subset.listed(2.0, listed, False)
     assert members(subset) > inside and not subset.wake(5.9)
     assert subset.wake(6.0) and members(subset) == inside
@@ -166,8 +168,8 @@
 def test_the_subset_grows_for_failing_servers_until_they_answer() -> None:
     subset, _ = small_subset()
     inside = sorted(members(subset))
-    failing = inside[SMALL_TERMS.least - 1 :]
-    grown = [subset.reported(1.0, name, False) for name in failing * SMALL_TERMS.unanswered]
+    failing = inside[SMALL_SETTINGS.least - 1 :]
+    grown = [subset.reported(1.0, name, False) for name in failing * SMALL_SETTINGS.unanswered]
     assert grown.count(True) >= 1 and grown[-1] and members(subset) > set(inside)
     assert not subset.wake(50.0)
     assert not any(subset.reported(60.0, name, True) for name in failing)
@@ -181,7 +183,7 @@
     subset.listed(1.0, other_zones, False)
     subset.listed(2.0, [changed(one, "on") for one in outside], False)
     serving = [one for one in subset.members() if one.facts.presence == "on"]
-    assert len({one.facts.zone for one in serving}) >= 2 and len(serving) >= SMALL_TERMS.least
+    assert len({one.facts.zone for one in serving}) >= 2 and len(serving) >= SMALL_SETTINGS.least
 
 
 def test_the_whole_list_is_used_if_fewer_servers_serve_than_the_minimum() -> None:
@@ -249,14 +251,14 @@
 
 
 def test_few_requests_are_refused_while_the_fleet_has_capacity() -> None:
-    terms = Terms(size=24, whole_up_to=40, least=12)
-    result = Play(Case(10, 100, terms, load=0.7, warm_s=1.0, length_s=1.5)).run()
+    settings = Terms(size=24, whole_up_to=40, least=12)
+    result = Play(Case(10, 100, settings, load=0.7, warm_s=1.0, length_s=1.5)).run()
     assert result.taken > 500 and result.refused <= 0.04 * result.taken and result.largest < 100
 
 
 def test_a_node_with_most_of_the_load_grows_its_subset_and_refuses_few_requests() -> None:
-    terms = Terms(size=24, whole_up_to=40, least=12, pressed_s=0.5)
-    case = Case(16, 200, terms, load=0.6, hot_share=1 / 16, hot=20.0, warm_s=4.0, length_s=1.0)
+    settings = Terms(size=24, whole_up_to=40, least=12, pressed_s=0.5)
+    case = Case(16, 200, settings, load=0.6, hot_share=1 / 16, hot=20.0, warm_s=4.0, length_s=1.0)
     growing, fixed = (Play(each_case).run() for each_case in (case, replace(case, grows=False)))
     assert growing.refused <= 0.04 * growing.taken < 0.2 * fixed.taken < fixed.refused
 
@@ -267,7 +269,7 @@
     cold = [one._replace(facts=replace(one.facts, started=100.0)) for one in replacements]
     sent, facts = 0, gateway().facts
     for number in range(nodes):
-        decisions, subset = gateway(gateways=nodes), Subset(number, nodes, SMALL_TERMS)
+        decisions, subset = gateway(gateways=nodes), Subset(number, nodes, SMALL_SETTINGS)
         decisions.random.seed(number)
         for now, listed in (
             (99.0, warm),
@@ -293,13 +295,13 @@
 # Use by a node.
 
 
-def dispatcher_with_list(terms: Terms | None, count: int, shown: bool = False) -> Dispatcher:
+def dispatcher_with_list(settings: Terms | None, count: int, keep_list: bool = False) -> Dispatcher:
     """Returns a dispatcher, without connections, that has received a list of `count` servers."""
-    deployment = told(subsets=terms)
+    deployment = told(subsets=settings)
     facts = replace(deployment.facts, number=3, gateways=NODES)
     dispatcher = Dispatcher(replace(deployment, facts=facts), Clock(), Log("n", 9.0))
     dispatcher.fleet = RecordingFleet()  # type: ignore[assignment]
-    dispatcher.shown = {} if shown else None
+    dispatcher.shown = {} if keep_list else None
     dispatcher.listed([ListedServer(*entry) for entry in entries(count)], True)
     return dispatcher
 
@@ -315,7 +317,7 @@
 
 
 def test_the_decisions_receive_only_the_subset() -> None:
-    dispatcher = dispatcher_with_list(SMALL_TERMS, 60)
+    dispatcher = dispatcher_with_list(SMALL_SETTINGS, 60)
     assert dispatcher.subset is not None
     inside = members(dispatcher.subset)
     assert (
@@ -337,16 +339,16 @@
 
 
 def test_the_subset_grows_for_a_machine_taken_out_of_service() -> None:
-    dispatcher = dispatcher_with_list(SMALL_TERMS, 60, shown=True)
+    dispatcher = dispatcher_with_list(SMALL_SETTINGS, 60, keep_list=True)
     assert dispatcher.subset is not None
     inside = members(dispatcher.subset)
     dispatcher.take_out(frozenset(inside))
     on = {name for name, one in dispatcher.gateway.servers.items() if one.presence == "on"}
-    assert len(on) >= SMALL_TERMS.least and not on & inside
+    assert len(on) >= SMALL_SETTINGS.least and not on & inside
 
 
 def test_attempts_in_flight_continue_at_servers_that_leave_the_subset() -> None:
-    dispatcher = dispatcher_with_list(SMALL_TERMS, 60)
+    dispatcher = dispatcher_with_list(SMALL_SETTINGS, 60)
     assert dispatcher.subset is not None
     inside, now = members(dispatcher.subset), dispatcher.clock.now()
     dispatcher.listed(
@@ -369,7 +371,7 @@
 
 
 def test_requests_that_wait_while_servers_are_not_saturated_grow_the_subset() -> None:
-    dispatcher = dispatcher_with_list(SMALL_TERMS._replace(pressed_s=1e-9), 60)
+    dispatcher = dispatcher_with_list(SMALL_SETTINGS._replace(pressed_s=1e-9), 60)
     before = len(dispatcher.gateway.servers)
     dispatcher._fit_subset()
     assert len(dispatcher.gateway.servers) == before
@@ -393,7 +395,7 @@
 
 def run_subset_node(
     standins: Sequence[Standin],
-    terms: Terms,
+    settings: Terms,
     nodes: int,
     requests: int,
     while_running: WhileRunning | None = None,
@@ -403,7 +405,7 @@
     Returns its answers, the count of requests that each stand-in received, and its dispatcher.
     """
     discovery = Standin(lambda request: listing(*standins) if len(discovery.heard) == 1 else b"")
-    deployment = told(known=known(*standins), discovery=discovery.address, subsets=terms)
+    deployment = told(known=known(*standins), discovery=discovery.address, subsets=settings)
     deployment = replace(deployment, facts=replace(deployment.facts, gateways=nodes, number=0))
     answers, dispatchers = list[bytes](), list[Dispatcher]()
 
@@ -431,9 +433,9 @@
 
 
 def test_a_node_sends_only_to_its_subset() -> None:
-    terms = Terms(size=4, whole_up_to=5, least=2)
+    settings = Terms(size=4, whole_up_to=5, least=2)
     standins = [server() for _ in range(16)]
-    answers, requests_by_server, (dispatcher,) = run_subset_node(standins, terms, 8, 30)
+    answers, requests_by_server, (dispatcher,) = run_subset_node(standins, settings, 8, 30)
     inside = {int(name[1:]) for name in dispatcher.gateway.servers}
     assert answers == [HI] * 30 and 2 <= len(inside) < 10
     assert (
@@ -443,10 +445,10 @@
 
 
 def test_a_node_grows_its_subset_if_its_servers_do_not_answer() -> None:
-    terms = Terms(size=4, whole_up_to=5, least=2, unanswered=1)
+    settings = Terms(size=4, whole_up_to=5, least=2, unanswered=1)
     joins = [Descent(0, 8).joins_at(f"s{at}") for at in range(16)]
     standins = [server(None) if join <= 1 else server() for join in joins]
-    answers, requests_by_server, (dispatcher,) = run_subset_node(standins, terms, 8, 30)
+    answers, requests_by_server, (dispatcher,) = run_subset_node(standins, settings, 8, 30)
     assert dispatcher.subset is not None and dispatcher.subset.level > 1
     assert answers.count(HI) >= 20 and any(
         count for join, count in zip(joins, requests_by_server, strict=True) if join > 1
@@ -454,7 +456,7 @@
 
 
 def test_an_attempt_at_a_server_that_leaves_the_subset_is_answered_and_no_other_starts() -> None:
-    terms = Terms(size=4, whole_up_to=5, least=2)
+    settings = Terms(size=4, whole_up_to=5, least=2)
     standins = [server() for _ in range(16)]
     answers = list[bytes]()
 
@@ -472,7 +474,7 @@
             answers.append(await scene.hear(sock, until=1))
             assert sum(len(standin.heard) for standin in standins) == 1 and len(dispatcher.open_requests) == 1
 
-    run_subset_node(standins, terms, 8, 0, remove_all_servers)
+    run_subset_node(standins, settings, 8, 0, remove_all_servers)
     assert answers == [HI]
 
 
