--- a/merlintally/subsets/core.py
+++ b/merlintally/subsets/core.py
@@ -8,8 +8,8 @@
 from merlintally.subsets.descent import Descent, start_level
 from merlintally.subsets.records import LEVEL_OFFSET, PRESENCE_OFFSET, PRESENCE_ON, Listing, RowCodec
 
-ZONE_SHARE = 0.05  # of the serving servers, from which a zone is large enough for a subset to have to span it
-MIN_ZONES = 2  # of the serving servers of a subset, if as many zones are large enough
+ZONE_SHARE = 0.05  # of all serving servers; smaller zones do not count towards MIN_ZONES
+MIN_ZONES = 2  # that the serving servers of a subset lie in, if as many zones count
 MAX_EXTRA_LEVELS = 2  # added by a node while requests wait
 DECAY_FACTOR = 3.0  # rate at which the waiting time decays while no request waits
 MAX_SAMPLE_S = 0.5  # longest interval that one sample of waiting requests accounts for
@@ -44,8 +44,8 @@
 class Subset:
     """Tracks the list of servers and selects those that this node works with.
 
-    `listed` returns the entries to publish for a list or its changes. `reported`, `pressed` and `wake` return
-    whether the subset has changed; if so, `members` has the whole new subset. Times are in Unix seconds.
+    `listed` returns the entries to publish for a list or its changes. The other methods that take the
+    time, in Unix seconds, return whether the subset has changed; if so, `members` returns the whole new one.
     """
 
     def __init__(
