--- a/merlintally/lab/schedules/subset_cost.py
+++ b/merlintally/lab/schedules/subset_cost.py
@@ -18,7 +18,7 @@
 from merlintally.interface import ServerFacts
 from merlintally.lab.schedules.subset_options import loads, names_of, spread
 from merlintally.lab.schedules.subset_room import FACTS, LANE, Case, Play
-from merlintally.subsets import Descent, Entry, Listing, Subset, Terms, start_level
+from merlintally.subsets import Descent, Entry, Listing, Subset, SubsetSettings, start_level
 
 NODES, NUMBER = 670, 3
 SIZES = (200, 512, 2000, 9200)
@@ -37,21 +37,21 @@
     ]
 
 
-def made(servers: int, terms: Terms | None) -> tuple[Gateway, Subset | None, list[Entry]]:
+def made(servers: int, terms: SubsetSettings | None) -> tuple[Gateway, Subset | None, list[Entry]]:
     """A decision module that has heard a list, by way of its subset."""
     gateway = Gateway(replace(FACTS, number=NUMBER, gateways=NODES), 1, 0.0)
     entries = listing(servers)
     subset = Subset(NUMBER, NODES, terms) if terms is not None else None
     told: Sequence[Listing] = entries
     if subset is not None:
-        told, _ = subset.listed(0.0, entries, True)
-        if subset.sharing != NODES:
-            gateway.share(subset.sharing)
+        told, _ = subset.apply_list(0.0, entries, True)
+        if subset.nodes_per_server != NODES:
+            gateway.share(subset.nodes_per_server)
     gateway.roster(0.0, [one.facts for one in told], True)
     return gateway, subset, entries
 
 
-def request_ms(servers: int, terms: Terms | None, requests: int = REQUESTS) -> list[float]:
+def request_ms(servers: int, terms: SubsetSettings | None, requests: int = REQUESTS) -> list[float]:
     """Processor time of the decisions for each request, from arrival to answer, sorted."""
     gateway, _, _ = made(servers, terms)
     now, found, out = 0.0, list[float](), list[tuple[float, Any]]()
@@ -85,7 +85,7 @@
     return median(times) if times else float("nan")
 
 
-def change_us(servers: int, terms: Terms | None) -> tuple[float, float]:
+def change_us(servers: int, terms: SubsetSettings | None) -> tuple[float, float]:
     """A change of one server in the subset, and of one outside."""
     gateway, subset, entries = made(servers, terms)
     turns = count(1)
@@ -94,7 +94,7 @@
         now = float(next(turns))
         told: Sequence[Listing] = [entry._replace(facts=replace(entry.facts, presence="draining"))]
         if subset is not None:
-            told, _ = subset.listed(now, told, False)
+            told, _ = subset.apply_list(now, told, False)
         if told:
             gateway.roster(now, [one.facts for one in told], False)
 
@@ -103,19 +103,19 @@
     return each_us(change, inside[: min(CHANGES, len(inside) // 4)]), each_us(change, outside[:CHANGES])
 
 
-def list_ms(servers: int, terms: Terms | None) -> float:
+def list_ms(servers: int, terms: SubsetSettings | None) -> float:
     entries = listing(servers)
     gateway = Gateway(replace(FACTS, number=NUMBER, gateways=NODES), 1, 0.0)
     subset = Subset(NUMBER, NODES, terms) if terms is not None else None
     began = time.perf_counter()
     told: Sequence[Listing] = entries
     if subset is not None:
-        told, _ = subset.listed(0.0, entries, True)
+        told, _ = subset.apply_list(0.0, entries, True)
     gateway.roster(0.0, [one.facts for one in told], True)
     return 1000 * (time.perf_counter() - began)
 
 
-def kept_mb(servers: int, terms: Terms | None) -> float:
+def kept_mb(servers: int, terms: SubsetSettings | None) -> float:
     """What is kept of a list by the subset and the decisions, their names among it."""
     gc.collect()
     tracemalloc.start()
@@ -130,18 +130,18 @@
 
 def outside_bytes(servers: int) -> float:
     """What is kept of each server outside the subset, its name among it."""
-    whole, one = kept_mb(servers, Terms()), made(servers, Terms())[1]
+    whole, one = kept_mb(servers, SubsetSettings()), made(servers, SubsetSettings())[1]
     assert one is not None
     inside = len(one.members())
-    rows = kept_mb(servers // 2, Terms())
-    few = made(servers // 2, Terms())[1]
+    rows = kept_mb(servers // 2, SubsetSettings())
+    few = made(servers // 2, SubsetSettings())[1]
     assert few is not None
     decisions = (kept_mb(400, None) - kept_mb(200, None)) / 200
     more = whole - rows - decisions * (inside - len(few.members()))
     return 1e6 * more / (servers - servers // 2)
 
 
-def connections(servers: int, terms: Terms | None) -> dict[str, float]:
+def connections(servers: int, terms: SubsetSettings | None) -> dict[str, float]:
     """Connections and handshakes of one node at its share of the load, over the other nodes' idle servers."""
     case = Case(NODES, servers, terms, load=0.7, played=1, warm_s=12.0, length_s=8.0)
     return Play(case).run().row()
@@ -160,7 +160,7 @@
 def by_size(servers: int) -> None:
     """Other sizes of a subset at the operators' size."""
     for size in SUBSET_SIZES:
-        terms = Terms(size=size)
+        terms = SubsetSettings(size=size)
         uneven, sizes = evenness(servers, size)
         times, row = request_ms(servers, terms), connections(servers, terms)
         print(
@@ -173,7 +173,7 @@
 
 def main() -> None:
     for servers in SIZES:
-        for name, terms in (("whole", None), ("subsets", Terms())):
+        for name, terms in (("whole", None), ("subsets", SubsetSettings())):
             times = request_ms(servers, terms, REQUESTS if servers < 9000 or terms else 300)
             inside, outside = change_us(servers, terms)
             row = connections(servers, terms)
--- a/merlintally/lab/schedules/subset_room.py
+++ b/merlintally/lab/schedules/subset_room.py
@@ -16,8 +16,8 @@
 
 from merlintally.choice import Gateway, Submission
 from merlintally.interface import LaneFacts, PlanFacts, ServerFacts, StartFacts
-from merlintally.subsets import USUAL, Entry, Subset, Terms
-from merlintally.subsets.pressure import waits_for_place
+from merlintally.subsets import DEFAULT_SETTINGS, Entry, Subset, SubsetSettings
+from merlintally.subsets.pressure import waits_for_capacity
 from merlintally.subsets.records import Listing
 
 LANE = LaneFacts("lane", 2.0, 4.0, 1.0, 0.0, "harmless", "all", 3.0)
@@ -60,7 +60,7 @@
 
     nodes: int
     servers: int
-    terms: Terms | None = None
+    terms: SubsetSettings | None = None
     load: float = 0.7  # of what all servers can do
     hot_share: float = 0.0  # nodes that get more than the others
     hot: float = 1.0  # how much more
@@ -139,12 +139,12 @@
         self.idle = dict[str, list[float]]()  # when each connection last came free, by server
         entries: list[Listing] = list(play.entries)
         if self.subset is not None:
-            entries = list(self.subset.listed(0.0, entries, True)[0])
+            entries = list(self.subset.apply_list(0.0, entries, True)[0])
         self.tell(entries, True)
 
     def tell(self, entries: list[Listing], complete: bool) -> None:
-        if self.subset is not None and self.subset.sharing != self.gateway.gateways_per_server:
-            self.gateway.share(self.subset.sharing)
+        if self.subset is not None and self.subset.nodes_per_server != self.gateway.gateways_per_server:
+            self.gateway.share(self.subset.nodes_per_server)
         self.gateway.roster(self.play.now, [entry.facts for entry in entries], complete)
 
     def take(self, number: int) -> None:
@@ -173,8 +173,8 @@
         self.play.spent(began)
         if self.subset is not None:
             now = self.play.now
-            press = self.play.case.grows and waits_for_place(self.gateway, now)
-            if self.subset.pressed(now, press) or self.subset.wake(now):
+            press = self.play.case.grows and waits_for_capacity(self.gateway, now)
+            if self.subset.record_waiting(now, press) or self.subset.shrink_if_due(now):
                 self.tell(self.subset.members(), True)
         self.carry_out()
 
@@ -191,7 +191,9 @@
             _, taken = self.handles.pop(attempt.handle.id, (None, now))
             if self.play.counts:
                 self.play.found.times.append(now - taken)
-        if self.subset is not None and self.subset.reported(now, attempt.server.name, outcome != "timed_out"):
+        if self.subset is not None and self.subset.record_attempt(
+            now, attempt.server.name, outcome != "timed_out"
+        ):
             self.tell(self.subset.members(), True)
         self.carry_out()
 
@@ -311,7 +313,7 @@
 def cases() -> Iterator[tuple[str, Case]]:
     """Each size with subsets and, where that can be tried, without; and one node with most of the work."""
     for nodes, servers in SIZES:
-        for form, terms in (("subsets", USUAL), ("whole", None)):
+        for form, terms in (("subsets", DEFAULT_SETTINGS), ("whole", None)):
             if terms is None and servers > MOST_WHOLE:
                 continue
             plain = Case(nodes, servers, terms, length_s=4.0 if servers <= MOST_WHOLE else 2.0)
@@ -320,7 +322,7 @@
             yield f"{name} even 0.85", replace(plain, load=0.85)
             yield f"{name} hot", replace(plain, hot_share=0.05, hot=6.0)
             yield f"{name} zone silent", replace(plain, lost=True, load=0.6)
-    one = Case(60, 1000, USUAL, load=0.6, hot_share=1 / 60, hot=30.0, warm_s=9.0)
+    one = Case(60, 1000, DEFAULT_SETTINGS, load=0.6, hot_share=1 / 60, hot=30.0, warm_s=9.0)
     yield "60 x 1000 subsets one node", one
     yield "60 x 1000 stays one node", replace(one, grows=False)
     yield "60 x 1000 whole one node", replace(one, terms=None)
--- a/merlintally/lab/schedules/subsets.py
+++ b/merlintally/lab/schedules/subsets.py
@@ -13,11 +13,11 @@
 
 from merlintally.interface import ServerFacts
 from merlintally.lab.schedules.world import Found, Judge, Verdict
-from merlintally.subsets import Entry, Subset, Terms, levels_of, start_level
+from merlintally.subsets import Entry, Subset, SubsetSettings, start_level, top_level
 from merlintally.subsets.core import ZONE_SHARE
 from merlintally.subsets.records import Listing
 
-TERMS = Terms(size=12, whole_up_to=20, least=6, settle_s=4.0, pressed_s=0.5)
+TERMS = SubsetSettings(size=12, whole_up_to=20, least=6, settle_s=4.0, pressed_s=0.5)
 LENGTH_S, HEALED_S, LOOK_S = 20.0, 18.0, 0.7
 FAULTS = ("come", "go", "drain", "restart", "silent", "zone silent", "zone lost", "node", "pressed", "many")
 MOST_CHANGES, BURSTS = 60, 15  # servers replaced at once; and how often, in one schedule of four
@@ -39,7 +39,7 @@
 @cache
 def joined(server: str, number: int, nodes: int) -> int:
     """The lowest level at which a server is in a node's subset, as the rule has it."""
-    levels = range(levels_of(nodes) + 1)
+    levels = range(top_level(nodes) + 1)
     return next(level for level in levels if pick(server, nodes, level, number % (1 << level)) == number)
 
 
@@ -77,7 +77,7 @@
             self.view[name] = entry
             if name not in self.joins:
                 self.joins[name] = joined(name, self.number, self.rig.size)
-        self.tell(*self.core.listed(self.rig.world.now, entries, complete))
+        self.tell(*self.core.apply_list(self.rig.world.now, entries, complete))
         self.rig.look(self)
 
     def tell(self, entries: Iterable[Listing], complete: bool) -> None:
@@ -99,10 +99,10 @@
         for name in rig.world.random.sample(on, min(6, len(on))) * 2:
             answered = name not in rig.silent
             self.silent[name] = 0 if answered else self.silent[name] + 1
-            if self.core.reported(now, name, answered):
+            if self.core.record_attempt(now, name, answered):
                 self.tell(self.core.members(), True)
                 rig.look(self)
-        for changed in (self.core.pressed(now, self.pressed), self.core.wake(now)):
+        for changed in (self.core.record_waiting(now, self.pressed), self.core.shrink_if_due(now)):
             if changed:
                 self.tell(self.core.members(), True)
         rig.look(self)
@@ -232,10 +232,10 @@
 
     def needed(self, node: Node) -> int:
         """The level that is enough for a node, by the rules."""
-        top = levels_of(self.size)
+        top = top_level(self.size)
         if len(node.view) <= TERMS.whole_up_to:
             return top
-        level = min(top, start_level(self.size, len(node.view), TERMS.size) + node.core.steps)
+        level = min(top, start_level(self.size, len(node.view), TERMS.size) + node.core.extra_levels)
         alive = node.serving(node.view)
         zones = Counter(node.view[name].facts.zone for name in alive)
         if len(alive) <= TERMS.least:
@@ -285,7 +285,7 @@
         shared, load = Counter[str](), dict.fromkeys(self.listed, 0.0)
         for node in self.nodes:
             fresh = Subset(node.number, self.size, TERMS, self.mistakes)
-            told, _ = fresh.listed(self.world.now, list(self.listed.values()), True)
+            told, _ = fresh.apply_list(self.world.now, list(self.listed.values()), True)
             if node.held.keys() != {entry.facts.server for entry in told}:
                 self.broken(f"node {node.number} holds another subset than it would after a restart")
             for name in node.held:
--- a/merlintally/net/configuration.py
+++ b/merlintally/net/configuration.py
@@ -11,7 +11,7 @@
 from merlintally.facts import REPORT_FIELDS, reported_names, start_facts
 from merlintally.fields import Fields, Malformed, integer, lookup, number, text
 from merlintally.interface import Presence, ServerFacts, StartFacts
-from merlintally.subsets import USUAL, Terms
+from merlintally.subsets import DEFAULT_SETTINGS, SubsetSettings
 
 Address = tuple[str, int]
 MIN_DESCRIPTORS = 8  # for clients, and as many for app servers
@@ -102,7 +102,7 @@
     idle_close: float
     pushed: bool = False  # whether lists are pushed to a discovery agent on this machine
     bounds: Bounds = field(default_factory=Bounds)
-    subsets: Terms | None = USUAL  # of app servers; None if the node uses all
+    subsets: SubsetSettings | None = DEFAULT_SETTINGS  # of app servers; None if the node uses all
 
     @property
     def client_descriptors(self) -> int:
--- a/merlintally/net/node.py
+++ b/merlintally/net/node.py
@@ -39,7 +39,7 @@
 from merlintally.net.servers import Fleet
 from merlintally.net.sockets import ResourceLimit
 from merlintally.net.timers import Clock, Timers
-from merlintally.subsets import USUAL, Terms
+from merlintally.subsets import DEFAULT_SETTINGS, SubsetSettings
 
 SWEEP_S = 0.25  # between checks for idle and stalled connections, and overdue requests
 MIN_BACKLOG = 128
@@ -356,7 +356,7 @@
 def main(
     make_log: Callable[[Deployment], Log] | None = None,
     parts: Iterable[NodeTask] = (),
-    subsets: Terms | None = USUAL,
+    subsets: SubsetSettings | None = DEFAULT_SETTINGS,
 ) -> int:
     """Runs the node configured by LB_CONFIG. Returns the exit code: 0 after a graceful shutdown, 1 if the
     node can't serve, 2 for a faulty configuration.
--- a/merlintally/net/roster.py
+++ b/merlintally/net/roster.py
@@ -8,7 +8,7 @@
 from merlintally.interface import Outcome
 from merlintally.net.configuration import Deployment
 from merlintally.subsets import Listing, Subset
-from merlintally.subsets.pressure import waits_for_place
+from merlintally.subsets.pressure import waits_for_capacity
 
 ANSWERED: tuple[Outcome, ...] = ("ok", "error", "full")
 UNANSWERED: tuple[Outcome, ...] = ("timed_out", "unreachable", "broken")
@@ -36,7 +36,7 @@
     def listed(self, now: float, entries: Sequence[Listing], complete: bool) -> None:
         """Applies a list from discovery, or changes to it unless `complete`."""
         if self.subset is not None:
-            entries, complete = self.subset.listed(now, entries, complete)
+            entries, complete = self.subset.apply_list(now, entries, complete)
         if entries or complete:
             self._publish(entries, complete)
 
@@ -44,18 +44,18 @@
         """Records the end of an attempt: a server that leaves several unanswered counts as failing."""
         if self.subset is None or outcome not in ANSWERED + UNANSWERED:
             return
-        if self.subset.reported(now, server, outcome in ANSWERED):
+        if self.subset.record_attempt(now, server, outcome in ANSWERED):
             self._publish(self.subset.members(), True)
 
     def resize(self, now: float) -> None:
         """Grows the subset while requests wait for capacity in it; shrinks it when a smaller one suffices."""
         if self.subset is None or not self.subset.bounded:
             return
-        overloaded = self.subset.pressed(now, waits_for_place(self._gateway, now))
-        if self.subset.wake(now) or overloaded:
+        overloaded = self.subset.record_waiting(now, waits_for_capacity(self._gateway, now))
+        if self.subset.shrink_if_due(now) or overloaded:
             self._publish(self.subset.members(), True)
 
     def _publish(self, entries: Sequence[Listing], complete: bool) -> None:
-        if self.subset is not None and self.subset.sharing != self._gateway.gateways_per_server:
-            self._gateway.share(self.subset.sharing)
+        if self.subset is not None and self.subset.nodes_per_server != self._gateway.gateways_per_server:
+            self._gateway.share(self.subset.nodes_per_server)
         self._on_update(entries, complete)
--- a/merlintally/operators/file.py
+++ b/merlintally/operators/file.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 
 from merlintally.forms import read_file
-from merlintally.subsets import USUAL, Terms
+from merlintally.subsets import DEFAULT_SETTINGS, SubsetSettings
 
 
 class LogPart(Struct, frozen=True, forbid_unknown_fields=True):
@@ -130,19 +130,19 @@
     ] = True
     size: Annotated[
         int, Meta(ge=8, le=100_000, description="servers of a subset at least, and not quite twice as many")
-    ] = USUAL.size
+    ] = DEFAULT_SETTINGS.size
     whole_up_to: Annotated[
         int, Meta(ge=1, le=1_000_000, description="listed servers up to which all of them are used")
-    ] = USUAL.whole_up_to
+    ] = DEFAULT_SETTINGS.whole_up_to
     least: Annotated[
         int, Meta(ge=2, le=100_000, description="serving servers in a subset while more are alive")
-    ] = USUAL.least
+    ] = DEFAULT_SETTINGS.least
     unanswered: Annotated[
         int, Meta(ge=1, le=100, description="attempts in a row without an answer, then a server is failing")
-    ] = USUAL.unanswered
+    ] = DEFAULT_SETTINGS.unanswered
     settle_s: Annotated[
         float, Meta(ge=1, le=3600, description="until a subset that may be smaller shrinks, seconds")
-    ] = USUAL.settle_s
+    ] = DEFAULT_SETTINGS.settle_s
     pressed_s: Annotated[
         float,
         Meta(
@@ -150,17 +150,17 @@
             le=600,
             description="for which work waits for a place until a subset grows a step, seconds",
         ),
-    ] = USUAL.pressed_s
+    ] = DEFAULT_SETTINGS.pressed_s
 
     def faults(self) -> Iterator[tuple[str, str]]:
         if self.least > self.size:
             yield "least", f"{self.least} is above size, {self.size}"
 
-    def terms(self) -> Terms | None:
+    def terms(self) -> SubsetSettings | None:
         """As the node takes them; None: off."""
         if not self.enabled:
             return None
-        return Terms(
+        return SubsetSettings(
             size=self.size,
             whole_up_to=self.whole_up_to,
             least=self.least,
--- a/merlintally/subsets/__init__.py
+++ b/merlintally/subsets/__init__.py
@@ -5,19 +5,19 @@
 docs/subsets.md.
 """
 
-from merlintally.subsets.core import MISTAKES, USUAL, Subset, Terms
-from merlintally.subsets.descent import Descent, levels_of, start_level
+from merlintally.subsets.core import DEFAULT_SETTINGS, MISTAKES, Subset, SubsetSettings
+from merlintally.subsets.descent import Descent, start_level, top_level
 from merlintally.subsets.records import Address, Entry, Listing
 
 __all__ = [
+    "DEFAULT_SETTINGS",
     "MISTAKES",
-    "USUAL",
     "Address",
     "Descent",
     "Entry",
     "Listing",
     "Subset",
-    "Terms",
-    "levels_of",
+    "SubsetSettings",
     "start_level",
+    "top_level",
 ]
--- a/merlintally/subsets/core.py
+++ b/merlintally/subsets/core.py
@@ -27,7 +27,7 @@
 )
 
 
-class Terms(NamedTuple):
+class SubsetSettings(NamedTuple):
     """Settings of subsets, from the operators' file."""
 
     size: int = 128  # minimum servers of a subset; it has less than twice as many
@@ -38,13 +38,13 @@
     pressed_s: float = 2.0  # time for which requests wait before the subset grows by a level
 
 
-USUAL = Terms()
+DEFAULT_SETTINGS = SubsetSettings()
 
 
 class Subset:
     """Tracks the list of servers and selects those that this node works with.
 
-    `listed` returns the entries to publish for a list or its changes. The other methods that take the
+    `apply_list` returns the entries to publish for a list or its changes. The other methods that take the
     time, in Unix seconds, return whether the subset has changed; if so, `members` returns the whole new one.
     """
 
@@ -52,7 +52,7 @@
         self,
         node_number: int,
         nodes: int,
-        settings: Terms = USUAL,
+        settings: SubsetSettings = DEFAULT_SETTINGS,
         injected_faults: frozenset[str] = frozenset(),
     ) -> None:
         self.nodes, self.settings, self.injected_faults = nodes, settings, injected_faults
@@ -65,7 +65,7 @@
         # Serving servers that join at each level, by level and zone.
         self._serving: list[dict[int, int]] = [{} for _ in range(self._descent.top + 1)]
         self._unanswered = dict[str, int]()  # consecutive unanswered attempts by server
-        self.steps, self._waiting_s, self._sampled_at, self._idle_since = 0, 0.0, 0.0, -1.0
+        self.extra_levels, self._waiting_s, self._sampled_at, self._idle_since = 0, 0.0, 0.0, -1.0
         self._shrinks_at = float("inf")
 
     @property
@@ -86,15 +86,15 @@
         return self.level >= self._descent.top
 
     @property
-    def sharing(self) -> int:
+    def nodes_per_server(self) -> int:
         """The number of nodes that send to one server; levels added for waiting requests don't count.
 
         Those levels are this node's own: other nodes don't add them.
         """
-        level = max(self._base_level, self.level - self.steps)
+        level = max(self._base_level, self.level - self.extra_levels)
         return min(self.nodes, 1 << level) if self._bounded else self.nodes
 
-    def listed(
+    def apply_list(
         self, now: float, entries: Sequence[Listing], complete: bool
     ) -> tuple[Sequence[Listing], bool]:
         """Applies a list, or changes to it unless `complete`.
@@ -129,7 +129,7 @@
         unpack, level = self._codec.unpack, self.level
         return [unpack(name, row) for name, row in self.rows.items() if row[LEVEL_OFFSET] <= level]
 
-    def reported(self, now: float, server: str, answered: bool) -> bool:
+    def record_attempt(self, now: float, server: str, answered: bool) -> bool:
         """Records the end of an attempt; returns whether the subset has changed."""
         row, previous = self.rows.get(server), self._unanswered.get(server, 0)
         if row is None or row[LEVEL_OFFSET] > self.level or (answered and not previous):
@@ -145,7 +145,7 @@
         )
         return crossed and self._adjust_level(now)
 
-    def pressed(self, now: float, waiting: bool) -> bool:
+    def record_waiting(self, now: float, waiting: bool) -> bool:
         """Samples whether requests wait for capacity in the subset; returns whether the subset has changed.
 
         A level is added once requests have waited for `pressed_s`, short breaks included, and removed after
@@ -157,15 +157,15 @@
         self._waiting_s = max(0.0, self._waiting_s + (elapsed if waiting else -DECAY_FACTOR * elapsed))
         if waiting or self._idle_since < 0:
             self._idle_since = now
-        if self._waiting_s >= self.settings.pressed_s and self.steps < MAX_EXTRA_LEVELS:
-            self.steps, self._waiting_s = self.steps + 1, 0.0
-        elif self.steps and now - self._idle_since >= self.settings.settle_s:
-            self.steps, self._idle_since = self.steps - 1, now
+        if self._waiting_s >= self.settings.pressed_s and self.extra_levels < MAX_EXTRA_LEVELS:
+            self.extra_levels, self._waiting_s = self.extra_levels + 1, 0.0
+        elif self.extra_levels and now - self._idle_since >= self.settings.settle_s:
+            self.extra_levels, self._idle_since = self.extra_levels - 1, now
         else:
             return False
         return self._adjust_level(now)
 
-    def wake(self, now: float) -> bool:
+    def shrink_if_due(self, now: float) -> bool:
         """Shrinks the subset if a smaller one has sufficed for `settle_s`; returns whether it has changed."""
         return now >= self._shrinks_at and self._adjust_level(now)
 
@@ -277,7 +277,7 @@
         if len(self.rows) <= settings.whole_up_to:
             return top
         self._base_level = start_level(self.nodes, len(self.rows), settings.size)
-        level = min(top, self._base_level + self.steps)
+        level = min(top, self._base_level + self.extra_levels)
         all_serving = _sum_by_zone(self._serving)
         alive = sum(all_serving.values())
         min_serving, min_zones = settings.least, min(MIN_ZONES, _count_zones(all_serving, alive))
--- a/merlintally/subsets/descent.py
+++ b/merlintally/subsets/descent.py
@@ -14,10 +14,10 @@
 HASH_SPAN = 1 << 64  # digests of 8 bytes
 
 
-def levels_of(nodes: int) -> int:
+def top_level(nodes: int) -> int:
     """Returns the level at which every node has the whole list.
 
-    >>> [levels_of(nodes) for nodes in (1, 2, 3, 670)]
+    >>> [top_level(nodes) for nodes in (1, 2, 3, 670)]
     [0, 1, 2, 10]
     """
     return max(0, nodes - 1).bit_length()
@@ -38,7 +38,7 @@
     >>> start_level(670, 9200, 128), start_level(20, 9200, 128), start_level(2, 9200, 128)
     (4, 1, 1)
     """
-    level, top = 1, levels_of(nodes)
+    level, top = 1, top_level(nodes)
     while level < top and (servers << level) < nodes * size:
         level += 1
     return min(level, top)
@@ -53,7 +53,7 @@
     def __init__(self, node_number: int, nodes: int) -> None:
         if not 0 <= node_number < nodes:
             raise ValueError(f"node number {node_number} must be at least 0 and less than {nodes}")
-        self.top = levels_of(nodes)
+        self.top = top_level(nodes)
         # Level, hash prefix of the class, bound of the lower half, whether this node is in the lower half.
         self._splits = list[tuple[int, bytes, int, bool]]()
         for level in reversed(range(self.top)):
--- a/merlintally/subsets/pressure.py
+++ b/merlintally/subsets/pressure.py
@@ -7,7 +7,7 @@
 MIN_FREE_ATTEMPTS = 0.5  # between the attempts allowed and those in flight
 
 
-def waits_for_place(gateway: Gateway, now: float) -> bool:
+def waits_for_capacity(gateway: Gateway, now: float) -> bool:
     """Returns whether requests wait for capacity that more servers would provide; `now` is in Unix seconds.
 
     False while the servers are saturated, since the whole fleet may be, and while requests wait only for the
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -36,7 +36,7 @@
 from merlintally.lab.scale.slope import Context, Costs, Derived, Point, Row, Slope, in_order, registry
 from merlintally.lab.scale.store import read_kept
 from merlintally.lab.scale.workload import deployment, server_list, tenants_of
-from merlintally.subsets import USUAL
+from merlintally.subsets import DEFAULT_SETTINGS
 
 ROOT = Path(__file__).resolve().parents[1]
 CAPACITY = read_capacity()
@@ -327,7 +327,7 @@
     assert slopes_connections.simulate(30, 30.0, TINY) == found  # simulated: the same for the same seed
 
 
-MANY = 3 * USUAL.whole_up_to  # app servers, of which a node works with a part
+MANY = 3 * DEFAULT_SETTINGS.whole_up_to  # app servers, of which a node works with a part
 
 
 def test_the_simulated_node_works_with_its_subset() -> None:
@@ -339,11 +339,11 @@
     subset, whole = node(False), node(True)
     assert len(whole.gateway.servers) == MANY and whole.gateway.gateways_per_server == 20
     before = list(subset.gateway.servers)
-    assert USUAL.least <= len(before) < MANY / 2 and subset.gateway.gateways_per_server < 20
+    assert DEFAULT_SETTINGS.least <= len(before) < MANY / 2 and subset.gateway.gateways_per_server < 20
     for name in before[:-10]:  # the subset takes on others for those that don't answer
-        for _ in range(USUAL.unanswered):
+        for _ in range(DEFAULT_SETTINGS.unanswered):
             subset.roster.ended(subset.now, name, "timed_out")
-    assert len(subset.gateway.servers) >= len(before) + USUAL.least - 10
+    assert len(subset.gateway.servers) >= len(before) + DEFAULT_SETTINGS.least - 10
 
 
 def test_with_whole_lists_a_node_knows_less_of_more_servers() -> None:
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -25,7 +25,16 @@
 from merlintally.net.roster import subset_of
 from merlintally.net.timers import Clock
 from merlintally.operators import read_operators
-from merlintally.subsets import MISTAKES, USUAL, Descent, Entry, Subset, Terms, levels_of, start_level
+from merlintally.subsets import (
+    DEFAULT_SETTINGS,
+    MISTAKES,
+    Descent,
+    Entry,
+    Subset,
+    SubsetSettings,
+    start_level,
+    top_level,
+)
 
 FIRST_FAILING_SEEDS = {  # of the schedules, by injected fault
     "each node has its own hash": 0,
@@ -39,7 +48,7 @@
     "it shrinks at once": 1,
     "it never shrinks": 1,
 }
-SMALL_SETTINGS = Terms(size=12, whole_up_to=20, least=6, settle_s=4.0, pressed_s=0.5)
+SMALL_SETTINGS = SubsetSettings(size=12, whole_up_to=20, least=6, settle_s=4.0, pressed_s=0.5)
 NODES = 8  # with SMALL_SETTINGS and 60 servers: each server is in two subsets of about 15 servers
 
 
@@ -61,7 +70,7 @@
 def small_subset(count: int = 60, number: int = 0) -> tuple[Subset, list[Entry]]:
     """Returns the subset of a node, of a list that is too long to be used whole, and the list."""
     subset, listed = Subset(number, NODES, SMALL_SETTINGS), entries(count)
-    subset.listed(0.0, listed, True)
+    subset.apply_list(0.0, listed, True)
     return subset, listed
 
 
@@ -78,7 +87,7 @@
     for name in names_of(50):
         join_levels = [descent.joins_at(name) for descent in descents]
         assert join_levels == [joined(name, number, nodes) for number in range(nodes)]
-        for level in range(levels_of(nodes) + 1):
+        for level in range(top_level(nodes) + 1):
             assert sum(join_level <= level for join_level in join_levels) == min(nodes, 1 << level)
 
 
@@ -112,17 +121,21 @@
 
 
 def test_a_short_list_is_passed_on_unchanged() -> None:
-    subset, listed = Subset(0, 670, USUAL), entries(USUAL.whole_up_to)
-    assert subset.listed(0.0, listed, True) == (listed, True) and subset.whole and not subset.bounded
+    subset, listed = Subset(0, 670, DEFAULT_SETTINGS), entries(DEFAULT_SETTINGS.whole_up_to)
+    assert subset.apply_list(0.0, listed, True) == (listed, True) and subset.whole and not subset.bounded
     change = [changed(listed[0], "draining"), changed(entries(1, first=900)[0], "gone")]
-    updates, complete = subset.listed(1.0, change, False)
-    assert updates is change and not complete and subset.sharing == 670
-    assert not any((subset.reported(2.0, "s1", False), subset.pressed(2.0, True), subset.wake(9e9)))
+    updates, complete = subset.apply_list(1.0, change, False)
+    assert updates is change and not complete and subset.nodes_per_server == 670
+    assert not any(
+        (subset.record_attempt(2.0, "s1", False), subset.record_waiting(2.0, True), subset.shrink_if_due(9e9))
+    )
 
 
 def test_a_short_list_changes_no_decision() -> None:
     case = Case(4, 40, None, load=0.9, warm_s=0.0, length_s=1.5)
-    without_subset, with_subset = (Play(each_case).run() for each_case in (case, replace(case, terms=USUAL)))
+    without_subset, with_subset = (
+        Play(each_case).run() for each_case in (case, replace(case, terms=DEFAULT_SETTINGS))
+    )
     assert without_subset.taken > 300 and replace(without_subset, busy_s=0.0) == replace(
         with_subset, busy_s=0.0
     )
@@ -130,12 +143,12 @@
 
 def test_a_list_that_becomes_long_shrinks_the_subset_after_settling_or_at_once_if_very_long() -> None:
     subset = Subset(0, NODES, SMALL_SETTINGS)
-    subset.listed(0.0, entries(SMALL_SETTINGS.whole_up_to), True)
-    subset.listed(1.0, entries(10, first=20), False)
-    assert subset.whole and not subset.wake(4.9) and subset.wake(5.0) and not subset.whole
+    subset.apply_list(0.0, entries(SMALL_SETTINGS.whole_up_to), True)
+    subset.apply_list(1.0, entries(10, first=20), False)
+    assert subset.whole and not subset.shrink_if_due(4.9) and subset.shrink_if_due(5.0) and not subset.whole
     very_long = Subset(0, NODES, SMALL_SETTINGS)
-    very_long.listed(0.0, entries(SMALL_SETTINGS.whole_up_to), True)
-    rows, complete = very_long.listed(1.0, entries(60), True)
+    very_long.apply_list(0.0, entries(SMALL_SETTINGS.whole_up_to), True)
+    rows, complete = very_long.apply_list(1.0, entries(60), True)
     assert complete and names(list(rows)) == members(small_subset()[0])
 
 
@@ -144,10 +157,10 @@
     inside = members(subset)
     for entry in listed:
         change = changed(entry, "draining")
-        assert subset.listed(1.0, [change], False) == (
+        assert subset.apply_list(1.0, [change], False) == (
             ([change], False) if entry.facts.server in inside else ([], False)
         )
-        subset.listed(1.0, [entry], False)
+        subset.apply_list(1.0, [entry], False)
 
 
 def test_the_subset_grows_at_once_for_draining_servers_and_shrinks_after_settling() -> None:
@@ -157,38 +170,38 @@
         SMALL_SETTINGS.least :
     ]
     drained += [changed(one, "draining") for one in listed if one.facts.server in inside][:4]
-    rows, complete = subset.listed(1.0, drained, False)
+    rows, complete = subset.apply_list(1.0, drained, False)
     serving = [row for row in rows if row.facts.presence == "on"]
     assert complete and len(serving) >= SMALL_SETTINGS.least and members(subset) > inside
-    subset.listed(2.0, listed, False)
-    assert members(subset) > inside and not subset.wake(5.9)
-    assert subset.wake(6.0) and members(subset) == inside
+    subset.apply_list(2.0, listed, False)
+    assert members(subset) > inside and not subset.shrink_if_due(5.9)
+    assert subset.shrink_if_due(6.0) and members(subset) == inside
 
 
 def test_the_subset_grows_for_failing_servers_until_they_answer() -> None:
     subset, _ = small_subset()
     inside = sorted(members(subset))
     failing = inside[SMALL_SETTINGS.least - 1 :]
-    grown = [subset.reported(1.0, name, False) for name in failing * SMALL_SETTINGS.unanswered]
+    grown = [subset.record_attempt(1.0, name, False) for name in failing * SMALL_SETTINGS.unanswered]
     assert grown.count(True) >= 1 and grown[-1] and members(subset) > set(inside)
-    assert not subset.wake(50.0)
-    assert not any(subset.reported(60.0, name, True) for name in failing)
-    assert subset.wake(64.0) and members(subset) == set(inside)
+    assert not subset.shrink_if_due(50.0)
+    assert not any(subset.record_attempt(60.0, name, True) for name in failing)
+    assert subset.shrink_if_due(64.0) and members(subset) == set(inside)
 
 
 def test_a_subset_with_one_serving_zone_grows_to_a_second() -> None:
     subset, listed = small_subset()
     other_zones = [changed(one, "draining") for one in listed if one.facts.zone != "z0"]
     outside = [one for one in other_zones if one.facts.server not in members(subset)]
-    subset.listed(1.0, other_zones, False)
-    subset.listed(2.0, [changed(one, "on") for one in outside], False)
+    subset.apply_list(1.0, other_zones, False)
+    subset.apply_list(2.0, [changed(one, "on") for one in outside], False)
     serving = [one for one in subset.members() if one.facts.presence == "on"]
     assert len({one.facts.zone for one in serving}) >= 2 and len(serving) >= SMALL_SETTINGS.least
 
 
 def test_the_whole_list_is_used_if_fewer_servers_serve_than_the_minimum() -> None:
     subset, listed = small_subset()
-    subset.listed(1.0, [changed(one, "draining") for one in listed[:-3]], False)
+    subset.apply_list(1.0, [changed(one, "draining") for one in listed[:-3]], False)
     assert subset.whole and members(subset) == names(listed)
 
 
@@ -196,15 +209,15 @@
     subset, _ = small_subset()
     sizes = [len(subset.members())]
     for at in range(40):
-        if subset.pressed(at * 0.2, True):
+        if subset.record_waiting(at * 0.2, True):
             sizes.append(len(subset.members()))
     # Other nodes don't have the levels that this node has added.
-    assert sizes == sorted(set(sizes)) and len(sizes) == 3 and subset.sharing == 2
-    subset.pressed(10.0, False)
-    assert not subset.pressed(13.9, False) and subset.level == 3
+    assert sizes == sorted(set(sizes)) and len(sizes) == 3 and subset.nodes_per_server == 2
+    subset.record_waiting(10.0, False)
+    assert not subset.record_waiting(13.9, False) and subset.level == 3
     for at in range(10):
-        subset.pressed(14.0 + at, False)
-        subset.wake(14.0 + at)
+        subset.record_waiting(14.0 + at, False)
+        subset.shrink_if_due(14.0 + at)
     assert len(subset.members()) == sizes[0]
 
 
@@ -214,7 +227,7 @@
     rows = {entry.facts.server: entry for entry in subset.members()}
     for level in range(20):
         entry = Entry(replace(facts, server=f"x{level}"), ("10.1.2.3", 65535))
-        subset.listed(1.0, [entry], False)
+        subset.apply_list(1.0, [entry], False)
         rows = {one.facts.server: one for one in subset.members()}
         assert rows.get(f"x{level}", entry) == entry
     assert max(map(len, subset.rows.values())) <= 48
@@ -251,13 +264,13 @@
 
 
 def test_few_requests_are_refused_while_the_fleet_has_capacity() -> None:
-    settings = Terms(size=24, whole_up_to=40, least=12)
+    settings = SubsetSettings(size=24, whole_up_to=40, least=12)
     result = Play(Case(10, 100, settings, load=0.7, warm_s=1.0, length_s=1.5)).run()
     assert result.taken > 500 and result.refused <= 0.04 * result.taken and result.largest < 100
 
 
 def test_a_node_with_most_of_the_load_grows_its_subset_and_refuses_few_requests() -> None:
-    settings = Terms(size=24, whole_up_to=40, least=12, pressed_s=0.5)
+    settings = SubsetSettings(size=24, whole_up_to=40, least=12, pressed_s=0.5)
     case = Case(16, 200, settings, load=0.6, hot_share=1 / 16, hot=20.0, warm_s=4.0, length_s=1.0)
     growing, fixed = (Play(each_case).run() for each_case in (case, replace(case, grows=False)))
     assert growing.refused <= 0.04 * growing.taken < 0.2 * fixed.taken < fixed.refused
@@ -275,9 +288,9 @@
             (99.0, warm),
             (100.0, [*(changed(one, "draining") for one in warm[3:]), *cold[:3]]),
         ):
-            rows, complete = subset.listed(now, listed, now == 99.0)
-            if subset.sharing != decisions.gateways_per_server:
-                decisions.share(subset.sharing)
+            rows, complete = subset.apply_list(now, listed, now == 99.0)
+            if subset.nodes_per_server != decisions.gateways_per_server:
+                decisions.share(subset.nodes_per_server)
             decisions.roster(now, [row.facts for row in rows], complete)
         assert subset.whole
         decisions.roster(100.0, [one.facts for one in cold], complete=False)
@@ -295,7 +308,7 @@
 # Use by a node.
 
 
-def dispatcher_with_list(settings: Terms | None, count: int, keep_list: bool = False) -> Dispatcher:
+def dispatcher_with_list(settings: SubsetSettings | None, count: int, keep_list: bool = False) -> Dispatcher:
     """Returns a dispatcher, without connections, that has received a list of `count` servers."""
     deployment = told(subsets=settings)
     facts = replace(deployment.facts, number=3, gateways=NODES)
@@ -332,7 +345,7 @@
 
 
 def test_the_decisions_receive_the_whole_list_if_subsets_are_off_or_it_is_short() -> None:
-    for dispatcher in (dispatcher_with_list(None, 60), dispatcher_with_list(USUAL, 60)):
+    for dispatcher in (dispatcher_with_list(None, 60), dispatcher_with_list(DEFAULT_SETTINGS, 60)):
         assert len(dispatcher.gateway.servers) == 60 and dispatcher.gateway.gateways_per_server == NODES
     unnumbered = told()
     assert subset_of(replace(unnumbered, facts=replace(unnumbered.facts, number=9))) is None
@@ -395,7 +408,7 @@
 
 def run_subset_node(
     standins: Sequence[Standin],
-    settings: Terms,
+    settings: SubsetSettings,
     nodes: int,
     requests: int,
     while_running: WhileRunning | None = None,
@@ -433,7 +446,7 @@
 
 
 def test_a_node_sends_only_to_its_subset() -> None:
-    settings = Terms(size=4, whole_up_to=5, least=2)
+    settings = SubsetSettings(size=4, whole_up_to=5, least=2)
     standins = [server() for _ in range(16)]
     answers, requests_by_server, (dispatcher,) = run_subset_node(standins, settings, 8, 30)
     inside = {int(name[1:]) for name in dispatcher.gateway.servers}
@@ -445,7 +458,7 @@
 
 
 def test_a_node_grows_its_subset_if_its_servers_do_not_answer() -> None:
-    settings = Terms(size=4, whole_up_to=5, least=2, unanswered=1)
+    settings = SubsetSettings(size=4, whole_up_to=5, least=2, unanswered=1)
     joins = [Descent(0, 8).joins_at(f"s{at}") for at in range(16)]
     standins = [server(None) if join <= 1 else server() for join in joins]
     answers, requests_by_server, (dispatcher,) = run_subset_node(standins, settings, 8, 30)
@@ -456,7 +469,7 @@
 
 
 def test_an_attempt_at_a_server_that_leaves_the_subset_is_answered_and_no_other_starts() -> None:
-    settings = Terms(size=4, whole_up_to=5, least=2)
+    settings = SubsetSettings(size=4, whole_up_to=5, least=2)
     standins = [server() for _ in range(16)]
     answers = list[bytes]()
 
@@ -484,11 +497,11 @@
 def test_the_operators_file_sets_subsets(tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text("[subsets]\nsize = 64\nleast = 32\n")
-    assert read_operators(path).subsets.terms() == Terms(size=64, least=32)
+    assert read_operators(path).subsets.terms() == SubsetSettings(size=64, least=32)
     path.write_text("[subsets]\nenabled = false\n")
     assert read_operators(path).subsets.terms() is None
     path.write_text("")
-    assert read_operators(path).subsets.terms() == USUAL
+    assert read_operators(path).subsets.terms() == DEFAULT_SETTINGS
     path.write_text("[subsets]\nsize = 32\nwhole_upto = 9\n")
     with pytest.raises(Faults, match="whole_up_to"):
         read_operators(path)
