--- a/merlintally/subsets/__init__.py
+++ b/merlintally/subsets/__init__.py
@@ -1,22 +1,23 @@
-"""Subsets of app servers: each node works with a bounded part of a large fleet, so that load stays even.
+"""Deterministic subsetting: each node works with a bounded subset of a large fleet of app servers.
 
-No I/O, no clock, no chance: the same list gives the same subset on every node and at every start.
-The design, with the options weighed: docs/subsets.md.
+Subsets spread the load evenly over the servers. The package performs no I/O, reads no clock and draws no
+random numbers: the same list yields the same subset after every restart. The design is described in
+docs/subsets.md.
 """
 
-from merlintally.subsets.core import INJECTED_FAULTS, USUAL, Subset, Terms
-from merlintally.subsets.descent import Descent, levels_of, start_level
+from merlintally.subsets.core import DEFAULT_SETTINGS, INJECTED_FAULTS, Subset, SubsetSettings
+from merlintally.subsets.descent import Descent, start_level, top_level
 from merlintally.subsets.records import Address, Entry, Listing
 
 __all__ = [
+    "DEFAULT_SETTINGS",
     "INJECTED_FAULTS",
-    "USUAL",
     "Address",
     "Descent",
     "Entry",
     "Listing",
     "Subset",
-    "Terms",
-    "levels_of",
+    "SubsetSettings",
     "start_level",
+    "top_level",
 ]
