--- a/merlintally/choice.py
+++ b/merlintally/choice.py
@@ -1,4 +1,4 @@
-"""The decisions of a gateway that holds customers to their quotas by global tag throttling.
+"""The decision logic of a gateway that holds customers to their quotas by global tag throttling.
 
 Each edge node has one `Gateway(facts, seed, now)`. `Gateway.take` returns a handle for a submission, whose
 methods `ended`, `begun` and `left` report what happens to it. All other events come in through `roster`,
@@ -33,50 +33,58 @@
 from merlintally.ring import Ring, SampleRing
 from merlintally.slow_start import SlowStart
 
-USAGE_BUCKET_S = 0.4
-USAGE_BUCKET_COUNT = 5
+USAGE_SLOT_S = 0.4  # of the window over which a customer's recent use is measured
+USAGE_SLOT_COUNT = 5
 RECOMPUTE_INTERVAL_S = 0.25
-SOFT_TARGET_FACTOR = 2.0  # target over reserved rate of plans that earn from use beyond the quota
-UNREPORTED_SHARE = 0.2  # of the balance, which all gateways together may leave unreported
-UPDATE_FRESH_S = 0.3
-STALE_AFTER_S = 2.0  # without an update or use
+BEYOND_QUOTA_TARGET_FACTOR = 2.0  # target over reserved rate of plans that earn from use beyond the quota
+UNREPORTED_SHARE = 0.2  # share of the balance that all gateways together may leave unreported to the counter
+UPDATE_FRESH_S = 0.3  # age of a counter update up to which it decides without another call
+# A customer without an update or use for this long: its deficit is not carried over to a new counter, its
+# common rate is no longer updated, and with a full bucket it is forgotten.
+STALE_AFTER_S = 2.0
 INITIAL_ANSWER_COUNT = 10  # weight of the initial guess of a lane's answer time, in answers
 EPOCH_S = 60.0  # period of one counter of a customer
 CORRECTION_BURSTS = 1.0  # a counter below its expected minimum by more than this many bursts is corrected
 MAX_COUNTER_CALLS_PER_S = 300.0  # of all gateways together
-SLOW_ANSWER_SHARE = 0.5  # of the counter's timeout
-CALL_RATE_FACTOR_FAILED = 0.7
-CALL_RATE_FACTOR_SLOW = 0.9
-CALL_RATE_FACTOR_QUICK = 1.1
-CALL_RATE_RECOVERY_PER_S = 0.3  # as a share of the initial rate
+SLOW_COUNTER_ANSWER_SHARE = 0.5  # of the counter's timeout; a slower answer lowers the call rate
+COUNTER_CALL_RATE_FACTOR_FAILED = 0.7  # applied to the call rate after each failed call
+COUNTER_CALL_RATE_FACTOR_SLOW = 0.9
+COUNTER_CALL_RATE_FACTOR_QUICK = 1.1
+COUNTER_CALL_RATE_RECOVERY_PER_S = 0.3  # as a share of the initial rate
 NOTE_MIN_INTERVAL_S = 0.05
 MAX_NOTES_PER_S = 60.0  # received by one gateway
-NOTE_LIMITS = (NOTE_MIN_INTERVAL_S, MAX_NOTES_PER_S)  # indexed by the laboratory
-PEER_SILENT_AFTER_S = 1.0
-PEER_GONE_AFTER_S = 10.0
-EASY_LOAD_RATIO = 1.35
-SATURATED_LOAD_RATIO = 1.6
-MAX_LOAD_RATIO = 8.0  # cap on a single sample
+# (min interval, max rate), as one tuple for the simulator.
+NOTE_LIMITS = (NOTE_MIN_INTERVAL_S, MAX_NOTES_PER_S)
+PEER_SILENT_AFTER_S = 1.0  # since a peer's last note; use by that peer may then be unknown here
+PEER_GONE_AFTER_S = 10.0  # since a peer's last note; the peer is then regarded as stopped and not waited for
+EASY_LOAD_RATIO = 1.35  # answer time over base time, below which a server's concurrency grows
+SATURATED_LOAD_RATIO = 1.6  # the same, above which concurrency shrinks and customers' rates are limited
+MAX_LOAD_RATIO = 8.0  # cap on a single answer time over base time
 INITIAL_CONCURRENCY = 3.0  # at each server, of all gateways together
 MIN_CONCURRENCY_SHARE = 0.25  # of the initial concurrency
-MIN_CANDIDATES = 4
-RECENT_ANSWER_S = 5.0
-HEADROOM_FACTOR = 1.0  # in square roots of the total concurrency
+MIN_CANDIDATES = 4  # servers compared for a first execution, in addition to those that answered recently
+RECENT_ANSWER_S = 5.0  # since a server's last answer; its pooled connections are likely still open
+HEADROOM_FACTOR = 1.0  # headroom = factor x sqrt(total concurrency), where concurrency is scarce
 CONCURRENCY_GROWTH = 0.2  # per quick answer, as a share of the initial concurrency
-SLOWNESS_QUANTILE = 0.8
-MAX_RETRY_CREDIT = 2.0
+SLOWNESS_QUANTILE = 0.8  # of a server's recent answer times over base time
+MAX_RETRY_CREDIT = 2.0  # repeated executions that a server may be sent before further good answers
 RETRY_CREDIT_PER_ANSWER = 0.12
 TIMEOUT_FACTOR = 15.0  # in mean answer times
-EMPTY_SHARE_WEIGHT = 0.25  # of a new sample in the moving average
-EMPTY_SHARE_PENALTY = 8.0  # taken off the probability to admit a first submission
+# The empty share is the share of a plan's customers whose bucket was found empty at their first counter
+# update. The probability to admit a customer's first submission without asking the counter is 1 less the
+# share times the penalty, but at least an even share of the burst.
+EMPTY_BUCKET_SHARE_WEIGHT = 0.25  # of a new sample in the moving average
+EMPTY_BUCKET_SHARE_PENALTY = 8.0
 MAX_SKIPPED = 16  # submissions of one queue passed over in one dispatch
 DEADLINE_MARGIN_S = 0.03  # before a hard limit, in which no execution starts
-MAX_STALL_S = 0.15  # between reading the clock and writing the request
+MAX_STALL_S = 0.15  # longest assumed time between reading the clock and writing the request
 WAKE_WAITING_S = 0.03  # while submissions wait
 WAKE_OPEN_S = 0.1  # while submissions are open
 WAKE_IDLE_S = 0.5
-WAKE_LOST_AFTER_S = 0.25
-NO_QUOTA = PlanFacts("", 0, 0, 0, 0, 0, 0, 0, 0, 0)  # for plans that the settings do not define
+WAKE_LOST_AFTER_S = 0.25  # past its due time, after which a wake-up is scheduled again
+UNKNOWN_PLAN = PlanFacts(
+    "", 0, 0, 0, 0, 0, 0, 0, 0, 0
+)  # not in the settings; refused, with rate and open limit 0
 
 
 class Lane:
@@ -85,6 +93,7 @@
     def __init__(self, facts: LaneFacts) -> None:
         self.quoted_time, self.gain, self.late_gain = facts.quoted_time, facts.gain, facts.late_gain
         self.effect, self.group, self.remembered = facts.effect, facts.discard_group, facts.remembered
+        # Times in seconds: of a recent answer, and of an answer without load.
         self.mean_time, self.base_time, self.answer_count = (
             facts.quoted_time / 6,
             facts.quoted_time / 6,
@@ -95,12 +104,14 @@
     def record_answer(self, elapsed: float, units: float) -> None:
         """Update the statistics with a good answer after `elapsed` seconds.
 
-        The base time starts from the quoted time, as the first answers to arrive are the shortest ones.
+        The base time starts from a sixth of the quoted time, as the first answers to arrive are the shortest
+        ones. It follows the mean time until `answer_count`, which includes the weight of the initial guess,
+        is 40; from then on it falls to a lower mean time at once and rises slowly.
         """
         self.answer_count += 1
         self.mean_time += (elapsed - self.mean_time) / min(self.answer_count, 40)
         self.mean_units += (units - self.mean_units) / min(self.answer_count - INITIAL_ANSWER_COUNT, 40)
-        # Rises slowly, so that a temporary slowdown does not become the base time.
+        # Rises slowly in the end; otherwise a temporary slowdown would become the base time.
         self.base_time += (self.mean_time - self.base_time) * (
             1 if self.answer_count < 40 or self.mean_time < self.base_time else 5e-4
         )
@@ -115,30 +126,41 @@
 
     def __init__(self, key: str, plan: PlanFacts, gateways: int, now: float, uptime: float) -> None:
         self.key, self.plan, self.gateways = key, plan, gateways
-        self.epoch_offset, self.soft = phase(key) * EPOCH_S, plan.beyond_gain > plan.beyond_cost
+        self.epoch_offset, self.serves_beyond_quota = (
+            phase(key) * EPOCH_S,
+            plan.beyond_gain > plan.beyond_cost,
+        )
         self.wall_shift = 0.0  # seconds by which the wall clock, which numbers the epochs, is ahead of `now`
-        # Units left in the bucket; the uncapped balance may exceed the burst.
+        # Units left in the bucket by the last update and the use since; the balance is capped at the burst.
         self.balance = self.uncapped_balance = plan.burst
-        # Units: `unreported` were drawn here and are not in the counter; `soft_credit` is for use beyond
-        # the quota. `peer_rate` is the use by other gateways in units per second.
-        self.limiting_rate, self.peer_rate, self.unreported, self.soft_credit = float("inf"), 0.0, 0.0, 0.0
+        # Rates in units per second: the limit set by saturated servers, and the estimated use by peers.
+        # Units: drawn here and not yet added to the counter, and credit for use beyond the quota.
+        self.limiting_rate, self.peer_rate, self.units_to_add, self.beyond_quota_credit = (
+            float("inf"),
+            0.0,
+            0.0,
+            0.0,
+        )
+        # Times of the counter's last update, of the last refill and of the last use.
+        # `notes_complete`: a recent note of every live peer is here, so that the balance includes their use.
         self.last_update_at, self.advanced_at, self.last_used_at, self.notes_complete = (
             -EPOCH_S,
             now,
             now,
             False,
         )
-        # The customer's id in notes, and the units drawn here that no note has reported.
+        # The customer's id in notes, and the units drawn here that no note has reported yet.
         self.mark, self.drawn = int(self.epoch_offset / EPOCH_S * 2**32), 0.0
         self.pending_add: float | None = None  # units of the add in flight
         self.admitted_since_add, self.admitted_in_add = 0.0, 0.0  # units of whole submissions
-        # The counter last added to; its total is 0 until it is known.
+        # Executions in flight here, and the counter last added to; its total is 0 until it is known.
         self.in_flight, self.counter_name, self.counter_total = 0, 0, 0.0
         self.waiting: list[Submission] = []  # for the answer of the add in flight
-        self.recent_requests, self.recent_units = (
-            Ring(USAGE_BUCKET_S, USAGE_BUCKET_COUNT),
-            Ring(USAGE_BUCKET_S, USAGE_BUCKET_COUNT),
+        self.recent_submissions, self.recent_units = (
+            Ring(USAGE_SLOT_S, USAGE_SLOT_COUNT),
+            Ring(USAGE_SLOT_S, USAGE_SLOT_COUNT),
         )
+        # The rate that this gateway grants itself without the counter, in units per second, and its credit.
         self.common_rate, self.common_credit = (
             plan.rate / self.gateways,
             max(plan.burst / self.gateways, 1.0),
@@ -152,10 +174,10 @@
 
     @property
     def average_cost(self) -> float:
-        """Mean units of a recent request."""
+        """Mean units of a recent submission; 1 without any."""
         return (
             self.recent_units.total(self.advanced_at)
-            / (self.recent_requests.total(self.advanced_at) or float("inf"))
+            / (self.recent_submissions.total(self.advanced_at) or float("inf"))
             or 1.0
         )
 
@@ -164,19 +186,24 @@
         """Rate for all gateways together in units per second, at least the reserved rate."""
         return max(
             self.plan.rate,
-            min(self.plan.rate * (SOFT_TARGET_FACTOR if self.soft else 1.0), self.limiting_rate),
+            min(
+                self.plan.rate * (BEYOND_QUOTA_TARGET_FACTOR if self.serves_beyond_quota else 1.0),
+                self.limiting_rate,
+            ),
         )
 
     def advance(self, now: float) -> None:
         """Refill all buckets up to `now`."""
         passed, self.advanced_at = max(0.0, now - self.advanced_at), now
-        unseen = 0.0 if self.notes_complete else self.peer_rate
-        self.balance = min(self.plan.burst, self.balance + (self.plan.rate - unseen) * passed)
-        cost, soft_rate = self.average_cost, max(0.0, self.target - self.plan.rate) / self.gateways
+        unseen_rate = 0.0 if self.notes_complete else self.peer_rate
+        self.balance = min(self.plan.burst, self.balance + (self.plan.rate - unseen_rate) * passed)
+        cost, beyond_quota_rate = self.average_cost, max(0.0, self.target - self.plan.rate) / self.gateways
         self.common_credit = min(
             self.common_credit + self.common_rate * passed, max(2 * cost, self.common_rate * 0.5)
         )
-        self.soft_credit = min(self.soft_credit + soft_rate * passed, max(2 * cost, soft_rate))
+        self.beyond_quota_credit = min(
+            self.beyond_quota_credit + beyond_quota_rate * passed, max(2 * cost, beyond_quota_rate)
+        )
         self.ceiling_level = min(self.ceiling_depth, self.ceiling_level + self.ceiling_fill_rate * passed)
 
     def exceeds_ceiling(self, units: float) -> bool:
@@ -184,45 +211,54 @@
         return self.ceiling_fill_rate > 0 and self.ceiling_level < units
 
     def within_quota(self, units: float, now: float) -> bool:
-        """Whether the balance covers `units` and unreported use by peers, or the common rate grants them."""
+        """Whether the quota admits `units`.
+
+        - A plan with a rate of 0 is admitted by its open limit alone; here an open limit of 0 means "refuse".
+        - After an epoch without an update, with several gateways, only the common credit counts, and the
+          units of an average submission suffice.
+        - Otherwise the balance has to cover `units` and, unless the common credit covers `units`, the
+          estimated use by peers since the last update. Without fresh updates the common credit alone
+          suffices.
+        """
         if self.plan.rate <= 0:
             return self.plan.open_limit > 0
         if now - self.last_update_at >= EPOCH_S and self.gateways > 1:
             return self.common_credit >= min(units, self.average_cost)
         age = NOTE_MIN_INTERVAL_S if self.notes_complete else now - self.last_update_at
-        unseen = 0.0 if self.common_credit >= units else self.peer_rate * min(age, UPDATE_FRESH_S)
-        return self.balance >= units + unseen or (self.common_credit >= units and age > UPDATE_FRESH_S)
+        unseen_units = 0.0 if self.common_credit >= units else self.peer_rate * min(age, UPDATE_FRESH_S)
+        return self.balance >= units + unseen_units or (self.common_credit >= units and age > UPDATE_FRESH_S)
 
     def draw(self, units: float, now: float) -> None:
         """Take a submission's units from the balance and record the use."""
         self.last_used_at, self.common_credit = now, max(0.0, self.common_credit - units)
-        self.settle(units)
+        self.charge(units)
         self.admitted_since_add += units
-        self.recent_requests.add(now, 1.0)
+        self.recent_submissions.add(now, 1.0)
         self.recent_units.add(now, units)
 
-    def settle(self, difference: float) -> None:
-        """Change the units drawn here by `difference`."""
+    def charge(self, units: float) -> None:
+        """Take `units` from the balance and record them as drawn here; negative units are a refund."""
         self.balance, self.uncapped_balance = (
-            min(self.plan.burst, self.balance - difference),
-            self.uncapped_balance - difference,
+            min(self.plan.burst, self.balance - units),
+            self.uncapped_balance - units,
         )
-        self.unreported, self.drawn = self.unreported + difference, self.drawn + difference
+        self.units_to_add, self.drawn = self.units_to_add + units, self.drawn + units
 
     def cancel_overdraft(self, units: float) -> None:
         """Give back units that were admitted while the balance was empty: they took nothing from the bucket.
 
-        Otherwise the overdrafts of many gateways add up in the counter, and all refuse until it is refilled.
+        Otherwise the overdrafts of many gateways add up in the counter, and all of them refuse until the
+        bucket is refilled.
         """
         if units > 0:
-            self.balance, self.uncapped_balance, self.unreported = (
+            self.balance, self.uncapped_balance, self.units_to_add = (
                 self.balance + units,
                 self.uncapped_balance + units,
-                self.unreported - units,
+                self.units_to_add - units,
             )
 
     def apply_peer_use(self, drawn: float, now: float) -> None:
-        """Take units drawn by another gateway from the balance, down to 0 at most."""
+        """Take units drawn by another gateway from the balance, but not below 0."""
         self.advance(now)
         drawn = min(drawn, max(0.0, self.balance))
         self.balance, self.uncapped_balance = (
@@ -231,18 +267,33 @@
         )
 
     def update_common_rate(self, now: float) -> None:
-        """Move the common rate towards the target for the summed use, but not below an even share."""
+        """Scale the common rate by the target over the use by all gateways, by 0.8 to 1.25 a step.
+
+        The result stays within the target and an even share of it.
+        """
         self.advance(now)
         factor = min(1.25, max(0.8, self.target / max(self.recent_units.rate(now) + self.peer_rate, 0.01)))
         self.common_rate = min(self.target, max(self.target / self.gateways, self.common_rate * factor))
 
     def below_open_limit(self, now: float, answer_time: float) -> bool:
-        """Whether an execution may start here: the plan's limit less the peers' part, or an even share."""
-        limit, by_peers = (self.plan.open_limit, self.peer_rate / max(self.average_cost, 0.1) * answer_time)
-        return not limit or self.in_flight < max(1, int(max(limit - by_peers, limit / self.gateways)))
+        """Whether the plan's open limit allows another execution here; an open limit of 0 means no limit.
+
+        This gateway may have the larger of the limit less the peers' estimated executions, and an even share
+        of the limit; at least 1.
+        """
+        limit, peer_executions = (
+            self.plan.open_limit,
+            self.peer_rate / max(self.average_cost, 0.1) * answer_time,
+        )
+        return not limit or self.in_flight < max(1, int(max(limit - peer_executions, limit / self.gateways)))
+
+    def can_decide_locally(self, units: float, now: float) -> bool:
+        """Whether `units` can be decided without asking the counter.
 
-    def can_decide(self, units: float, now: float) -> bool:
-        """Whether the last update is fresh, or peers cannot have changed its result for `units` since."""
+        This holds if the last update is fresh (with complete notes: less than an epoch old), if neither
+        refill nor use by peers since then can have changed the result, or if there is no other gateway or no
+        quota.
+        """
         age, max_change = now - self.last_update_at, self.plan.rate * (now - self.last_update_at)
         unchanged = age < EPOCH_S and (
             self.uncapped_balance - units >= max_change or self.uncapped_balance + max_change < units
@@ -255,14 +306,14 @@
         )
 
     def epoch(self, now: float) -> tuple[int, float]:
-        """The name of the current counter, and the seconds since its epoch began."""
-        number, passed = divmod(now + self.wall_shift + self.epoch_offset, EPOCH_S)
-        return count_name(self.key, int(number)), passed
+        """The name of the current counter (an integer), and the seconds since its epoch began."""
+        epoch_number, passed = divmod(now + self.wall_shift + self.epoch_offset, EPOCH_S)
+        return count_name(self.key, int(epoch_number)), passed
 
     def apply_count(self, total: float, added: float, now: float) -> None:
         """Update the balance from the counter's total, which includes `added` units of this gateway."""
         self.advance(now)
-        since, burst, by_peers = (
+        since, burst, peer_units = (
             now - self.last_update_at,
             self.plan.burst,
             total - self.counter_total - added,
@@ -273,19 +324,19 @@
         # After a long time without an update the deficit is unknown, and only `added` is carried over.
         deficit = burst - self.balance if since < STALE_AFTER_S else min(added, burst - self.balance)
         if added > 0 and total <= added * 1.000001:  # a new counter: raise it to the use known here
-            self.unreported, self.counter_total = self.unreported + deficit - used, 0.0
+            self.units_to_add, self.counter_total = self.units_to_add + deficit - used, 0.0
             return
         if self.notes_complete and since < EPOCH_S:  # notes are more recent than the counter
             return
-        if self.counter_total and by_peers >= 0:
-            self.peer_rate += (min(self.plan.rate, by_peers / max(since, 0.02)) - self.peer_rate) * min(
+        if self.counter_total and peer_units >= 0:
+            self.peer_rate += (min(self.plan.rate, peer_units / max(since, 0.02)) - self.peer_rate) * min(
                 1.0, since
             )
-        self.uncapped_balance, self.counter_total = burst - used - self.unreported, total
+        self.uncapped_balance, self.counter_total = burst - used - self.units_to_add, total
         self.balance = min(burst, self.uncapped_balance)
         # In steps, since other gateways may correct the same counter.
         if -3 * CORRECTION_BURSTS * burst < used < -CORRECTION_BURSTS * burst:
-            self.unreported += min(CORRECTION_BURSTS * burst, -used - CORRECTION_BURSTS / 2 * burst)
+            self.units_to_add += min(CORRECTION_BURSTS * burst, -used - CORRECTION_BURSTS / 2 * burst)
 
     def can_forget(self, now: float) -> bool:
         """Whether a new object for this customer would start in the same state."""
@@ -314,6 +365,8 @@
     def reset(self, facts: ServerFacts) -> None:
         """Discard what was measured, for a server that has restarted."""
         self.presence, self.started = facts.presence, facts.started
+        # Executions allowed in flight; answer time over base time; slowness in relation to the other servers,
+        # at least 1; and repeated executions that may be sent.
         self.concurrency, self.load_ratio, self.slowness, self.retry_credit = (
             self.initial_concurrency,
             1.0,
@@ -488,7 +541,7 @@
         if outcome in ("full", "unreachable", "moot"):  # it never ran
             self.may_have_run.pop(number, None)
         if actual and self.drawn:
-            self.customer.settle(actual - self.units)
+            self.customer.charge(actual - self.units)
         if over:
             self.left(now)
         if not self.closed and not self.in_flight:
@@ -531,7 +584,7 @@
 
 
 class Gateway:
-    """The decisions of one edge node."""
+    """The decision logic of one edge node."""
 
     def __init__(self, facts: StartFacts, seed: int, now: float) -> None:
         self.facts, self.random = facts, random.Random(seed)
@@ -543,7 +596,7 @@
         self.pending_adds = dict[int, Customer]()  # by counter name
         # By counter name: customer, units added, and units of that add which were sent to servers.
         self.timed_out_adds = dict[int, tuple[Customer, float, float]]()
-        self.empty_share = dict[str, float]()  # by plan: share of first updates with an empty balance
+        self.empty_bucket_share = dict[str, float]()  # by plan: share of first updates with an empty bucket
         # Lowest priority: for submissions of unknown lanes and for those beyond the quota.
         self.unranked_lane = Lane(LaneFacts("", 1, 1, 0, 0, "one-shot", "cell", 0))
         order = [*sorted(self.lanes.values(), key=lambda lane: -lane.gain), self.unranked_lane]
@@ -554,11 +607,14 @@
             0.0,
             Results(),
         )
-        self.call_rate, self.call_tokens, self.slow_answer_s = (
+        # Calls to the counter: allowed per second, allowed now, and the time after which an answer is slow.
+        self.call_rate, self.call_tokens, self.slow_counter_answer_s = (
             MAX_COUNTER_CALLS_PER_S / facts.gateways,
             1.0,
-            SLOW_ANSWER_SHARE * facts.count_time_out,
+            SLOW_COUNTER_ANSWER_SHARE * facts.count_time_out,
         )
+        # Executions ended since the last recomputation, and in flight; mean answer time over base time;
+        # the cached total concurrency, and the time of its computation.
         self.answer_count, self.in_flight, self.load_ratio, self.usable_concurrency, self.concurrency_at = (
             0,
             0,
@@ -597,16 +653,21 @@
         """
         lane = self.lanes.get(lane_name, self.unranked_lane)
         if (customer := self.customers.get(key)) is None:
-            plan, gateways = (self.plans.get(plan_name, NO_QUOTA), max(1, gateways or self.facts.gateways))
+            plan, gateways = (
+                self.plans.get(plan_name, UNKNOWN_PLAN),
+                max(1, gateways or self.facts.gateways),
+            )
             customer = self.customers[key] = Customer(key, plan, gateways, now, now - self.started)
             customer.wall_shift = self.wall_shift
             self.customers_by_mark[customer.mark] = customer
             # Otherwise each of many gateways admits a first submission without asking the counter. The more
-            # balances of this plan were found empty, the fewer gateways do so, down to an even share.
+            # buckets of this plan were found empty, the lower the probability, down to an even share of the
+            # burst.
             probability = max(
-                plan.burst / gateways, 1 - EMPTY_SHARE_PENALTY * self.empty_share.get(plan_name, 0.0)
+                plan.burst / gateways,
+                1 - EMPTY_BUCKET_SHARE_PENALTY * self.empty_bucket_share.get(plan_name, 0.0),
             )
-            if not customer.soft and self.random.random() >= probability:
+            if not customer.serves_beyond_quota and self.random.random() >= probability:
                 customer.common_credit = plan.burst / gateways
         customer.notes_complete = self._receives_all_notes(now)
         handle = Submission(self, submission, lane, customer, units, now, time_left)
@@ -677,20 +738,26 @@
         if outcome == "ok":
             customer.apply_count(total, added, now)
             if first_update:
-                share = self.empty_share.get(customer.plan.name, 0.0)
-                self.empty_share[customer.plan.name] = (
-                    share + ((customer.uncapped_balance < 0) - share) * EMPTY_SHARE_WEIGHT
+                share = self.empty_bucket_share.get(customer.plan.name, 0.0)
+                self.empty_bucket_share[customer.plan.name] = (
+                    share + ((customer.uncapped_balance < 0) - share) * EMPTY_BUCKET_SHARE_WEIGHT
                 )
             self.call_rate = min(
                 MAX_COUNTER_CALLS_PER_S,
                 self.call_rate
-                * (CALL_RATE_FACTOR_SLOW if elapsed > self.slow_answer_s else CALL_RATE_FACTOR_QUICK),
+                * (
+                    COUNTER_CALL_RATE_FACTOR_SLOW
+                    if elapsed > self.slow_counter_answer_s
+                    else COUNTER_CALL_RATE_FACTOR_QUICK
+                ),
             )
         else:  # an add that timed out may have been counted, so it is not repeated
             self.call_rate *= (
-                CALL_RATE_FACTOR_FAILED if outcome != "timed_out" or elapsed > self.slow_answer_s else 1
+                COUNTER_CALL_RATE_FACTOR_FAILED
+                if outcome != "timed_out" or elapsed > self.slow_counter_answer_s
+                else 1
             )
-            customer.unreported += added if outcome != "timed_out" else 0.0
+            customer.units_to_add += added if outcome != "timed_out" else 0.0
         waiting, customer.waiting = customer.waiting, []
         sent_units = customer.admitted_in_add - sum(one.units for one in waiting if one.drawn)
         for handle in waiting:
@@ -702,7 +769,7 @@
             unsent_units = sum(one.units for one in waiting if one.closed and not one.execution_count)
             self.timed_out_adds[counter_name] = (customer, added, customer.admitted_in_add - unsent_units)
         needs_correction = (
-            customer.unreported < 0 or customer.unreported > CORRECTION_BURSTS / 2 * customer.plan.burst
+            customer.units_to_add < 0 or customer.units_to_add > CORRECTION_BURSTS / 2 * customer.plan.burst
         )
         self._report_use(now, customer, outcome == "ok" and needs_correction)
         self.dispatch(now)
@@ -726,7 +793,7 @@
                 customer.apply_peer_use(drawn, now)
 
     def _receives_all_notes(self, now: float) -> bool:
-        """Whether every peer that is not gone has sent a note recently, so that little use is unseen."""
+        """Whether every live peer has sent a note recently, so that nearly all use by peers is known."""
         ages = [now - at for at in self.peer_seen_at.values() if now - at < PEER_GONE_AFTER_S]
         return self.sends_notes and 0 <= max(ages, default=-1.0) < PEER_SILENT_AFTER_S
 
@@ -754,7 +821,7 @@
         self._expire(now)
         self.dispatch(now)
         for customer in self.customers.values() if self._may_call(now, True) else ():
-            if customer.unreported and now - customer.last_used_at < EPOCH_S / 4:
+            if customer.units_to_add and now - customer.last_used_at < EPOCH_S / 4:
                 self._report_use(now, customer)
 
     def take_results(self, now: float) -> Results:
@@ -782,10 +849,11 @@
         """
         customer, latest_call = handle.customer, handle.useful_until - 2 * self.facts.count_time_out
         customer.advance(now)
-        if not self.facts.may_count or now > latest_call or customer.can_decide(handle.units, now):
+        if not self.facts.may_count or now > latest_call or customer.can_decide_locally(handle.units, now):
             return False
         if customer.pending_add is None:
-            if not self._may_call(now, customer.soft):  # calls for soft plans have lower priority
+            # Calls for plans that serve beyond the quota have lower priority.
+            if not self._may_call(now, customer.serves_beyond_quota):
                 return False
             if customer.balance >= handle.units:
                 self._set_drawn(now, handle, True)
@@ -807,11 +875,11 @@
         too_late = ahead / service_rate > handle.useful_until - now
         if (
             not within_quota
-            and customer.soft
-            and customer.soft_credit >= units
+            and customer.serves_beyond_quota
+            and customer.beyond_quota_credit >= units
             and not any(self.queues.values())
         ):
-            customer.soft_credit -= units
+            customer.beyond_quota_credit -= units
             handle.beyond_quota = True
         if too_late:
             return self.finish(now, handle, Refusal.LATE)
@@ -827,14 +895,14 @@
     def _set_drawn(self, now: float, handle: Submission, drawn: bool) -> None:
         """Draw a submission's units from the balance, or give them back."""
         handle.drawn, customer = drawn, handle.customer
-        customer.draw(handle.units, now) if drawn else customer.settle(-handle.units)
+        customer.draw(handle.units, now) if drawn else customer.charge(-handle.units)
 
     def _report_use(self, now: float, customer: Customer, urgent: bool = False) -> None:
-        """Add the unreported units to the counter once they are enough; `urgent` ignores the call rate."""
+        """Add the drawn units to the counter once they reach a threshold; `urgent` ignores the call rate."""
         can_call = self.facts.may_count and customer.pending_add is None and customer.gateways > 1
         cost = customer.average_cost
         threshold = min(UNREPORTED_SHARE * max(customer.balance, cost) / customer.gateways, cost / 2)
-        if can_call and abs(customer.unreported) >= threshold and (urgent or self._may_call(now, True)):
+        if can_call and abs(customer.units_to_add) >= threshold and (urgent or self._may_call(now, True)):
             self._send_add(now, customer)
 
     def _may_call(self, now: float, low_priority: bool = False) -> bool:
@@ -845,22 +913,22 @@
         passed, self.call_tokens_at = now - self.call_tokens_at, now
         # Recovers without answers, as failures alone would bring the rate down to 0.
         if self.call_rate < (share := MAX_COUNTER_CALLS_PER_S / self.facts.gateways):
-            self.call_rate = min(share, self.call_rate + CALL_RATE_RECOVERY_PER_S * share * passed)
+            self.call_rate = min(share, self.call_rate + COUNTER_CALL_RATE_RECOVERY_PER_S * share * passed)
         self.call_tokens = min(self.call_rate * 0.25 + 2, self.call_tokens + passed * self.call_rate)
         return (
             self.call_tokens >= 1 + low_priority
-            and len(self.pending_adds) < 1 + self.call_rate * self.slow_answer_s / 2
+            and len(self.pending_adds) < 1 + self.call_rate * self.slow_counter_answer_s / 2
         )
 
     def _send_add(self, now: float, customer: Customer) -> None:
-        """Add all unreported units to the customer's current counter."""
+        """Add all units drawn since the last add to the customer's current counter."""
         self.call_tokens -= 1
         counter_name = customer.epoch(now)[0]
         if counter_name != customer.counter_name:
             customer.counter_name, customer.counter_total = counter_name, 0.0
-        self.pending_adds[counter_name], customer.pending_add, customer.unreported = (
+        self.pending_adds[counter_name], customer.pending_add, customer.units_to_add = (
             customer,
-            customer.unreported,
+            customer.units_to_add,
             0.0,
         )
         customer.admitted_in_add, customer.admitted_since_add = customer.admitted_since_add, 0.0
@@ -1092,11 +1160,11 @@
             allowed = ratios.get(server, 0.0) * sum(users.values()) / reserved
             for key, units in users.items() if allowed and server.zone != worst_zone else ():
                 customer = self.customers[key]
-                share = (
+                rate_limit = (
                     allowed
                     * customer.plan.rate
                     / units
                     * (customer.recent_units.rate(now) + customer.peer_rate)
                 )
-                customer.limiting_rate = min(customer.limiting_rate, share)
+                customer.limiting_rate = min(customer.limiting_rate, rate_limit)
             server.units_by_customer = {key: units * 0.85 for key, units in users.items() if units > 0.05}
--- a/tests/test_throttler.py
+++ b/tests/test_throttler.py
@@ -39,14 +39,14 @@
     one.apply_count(1.0, 1.0, 100.0)
     since = one.epoch(100.0)[1]
     assert one.balance == 3.0
-    assert abs(1.0 + one.unreported - PLAN.rate * since - (PLAN.burst - 3.0)) < 1e-6
+    assert abs(1.0 + one.units_to_add - PLAN.rate * since - (PLAN.burst - 3.0)) < 1e-6
 
 
 def test_stale_balance_is_not_added_to_a_new_counter() -> None:
     one = customer()
     one.last_update_at, one.balance = 60.0, -90.0
     one.apply_count(1.0, 1.0, 100.0)
-    assert abs(1.0 + one.unreported - PLAN.rate * one.epoch(100.0)[1] - 1.0) < 1e-6
+    assert abs(1.0 + one.units_to_add - PLAN.rate * one.epoch(100.0)[1] - 1.0) < 1e-6
 
 
 def test_common_rate_grants_units_after_a_stale_update() -> None:
@@ -90,9 +90,13 @@
         2.0,
         True,
     )
-    assert one.can_decide(2.0, 110.0) and one.within_quota(2.0, 110.0) and not one.within_quota(3.0, 110.0)
+    assert (
+        one.can_decide_locally(2.0, 110.0)
+        and one.within_quota(2.0, 110.0)
+        and not one.within_quota(3.0, 110.0)
+    )
     one.notes_complete = False
-    assert not one.can_decide(2.0, 110.0) and not one.within_quota(2.8, 110.0)
+    assert not one.can_decide_locally(2.0, 110.0) and not one.within_quota(2.8, 110.0)
 
 
 def test_update_keeps_the_balance_known_from_notes_unless_the_last_update_is_an_epoch_old() -> None:
@@ -141,14 +145,14 @@
 def test_counter_far_below_its_minimum_is_corrected_in_steps() -> None:
     one = customer()
     one.apply_count(PLAN.rate * one.epoch(100.0)[1] - 1.5 * PLAN.burst, 0.0, 100.0)
-    assert one.balance == PLAN.burst and 0 < one.unreported <= PLAN.burst
+    assert one.balance == PLAN.burst and 0 < one.units_to_add <= PLAN.burst
 
 
 def test_old_update_decides_only_what_peers_cannot_have_changed() -> None:
     one = customer()
-    assert one.can_decide(1.0, 101.0) and not one.can_decide(1.0, 103.0)
+    assert one.can_decide_locally(1.0, 101.0) and not one.can_decide_locally(1.0, 103.0)
     one.uncapped_balance = -20.0
-    assert one.can_decide(1.0, 103.0)
+    assert one.can_decide_locally(1.0, 103.0)
 
 
 def test_common_rate_is_at_least_an_even_share() -> None:
@@ -162,7 +166,7 @@
 def test_settled_units_are_given_back() -> None:
     one = customer()
     one.balance = 2.0
-    one.settle(-1.5)
+    one.charge(-1.5)
     assert one.balance == 3.5
 
 
@@ -238,10 +242,10 @@
 def test_refused_add_is_repeated_and_lowers_the_call_rate() -> None:
     decisions = gateway()
     one, rate_before = decisions.customers["c"], decisions.call_rate
-    one.pending_add, one.unreported, decisions.pending_adds = 3.0, 0.0, {7: one}
+    one.pending_add, one.units_to_add, decisions.pending_adds = 3.0, 0.0, {7: one}
     decisions.call_tokens_at = 100.0
     decisions.counted(100.0, 7, "full", 0.0, 0.01)
-    assert one.unreported + (one.pending_add or 0.0) == 3.0 and decisions.call_rate < rate_before
+    assert one.units_to_add + (one.pending_add or 0.0) == 3.0 and decisions.call_rate < rate_before
 
 
 def test_idle_customers_are_forgotten() -> None:
@@ -299,7 +303,11 @@
         decisions.take(100.0, number, "lane", f"asked{number}", "plan", 4.0, 1.0, 150)
         ((name, one),) = decisions.pending_adds.items()
         decisions.counted(
-            100.0, name, "ok", one.epoch(100.0)[1] * PLAN.rate + drawn + (one.pending_add or 0.0), 0.001
+            100.0,
+            name,
+            "ok",
+            one.epoch(100.0)[1] * PLAN.rate + drawn + (one.pending_add or 0.0),
+            0.001,
         )
         decisions.pending_adds.clear()
     decisions.call_tokens, decisions.call_rate, decisions.call_tokens_at, admitted = 0.0, 0.0, 100.0, 0
