--- a/merlintally/net/dispatcher.py
+++ b/merlintally/net/dispatcher.py
@@ -1,6 +1,6 @@
-"""The dispatcher: the single task that owns the decisions.
+"""The dispatcher: the single task that calls the decision logic (`Gateway`).
 
-Socket code reaches the decisions only through the dispatcher's call queue.
+Other tasks reach the decision logic only through the dispatcher's call queue.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 GIVEN_UP_ANSWER: list[Buffer] = [b"-ERR given up\r\n"]
 BUSY_ANSWER: list[Buffer] = [b"-BUSY\r\n"]
 
-# Reasons by which answers are counted, in addition to `merlintally.interface.Refusal`.
+# Reasons for answers, as counted in `answer_counts`, in addition to `merlintally.interface.Refusal`.
 SERVER_ANSWERED = "an app server's answer"
 NOT_ACCEPTING = "the node takes nothing new"
 TOO_MANY_OPEN = "as many requests are open as may be"
@@ -38,18 +38,21 @@
 DEADLINE_PASSED = "its deadline has passed"
 DECISIONS_FAILED = "a fault in the decisions"
 
-OVERDUE_GRACE_S = 0.1  # past its deadline, after which an open request is ended by `answer_overdue`
+OVERDUE_GRACE_S = 0.1  # an open request is answered by `answer_overdue` this long after its deadline
 DUPLICATE_ID_ANSWER: list[Buffer] = [b"-ERR the id is that of an open submission\r\n"]
 
 
 def answer_kind(answer: list[Buffer]) -> str:
-    """Return the name of an answer's kind in the log: "delivered", "bounced" or "given up"."""
+    """Classify an answer for the log: "bounced" for -BUSY, "delivered" for any answer that is no error line.
+
+    Every other error line counts as "given up".
+    """
     head = bytes(memoryview(answer[0])[:5])
     return "bounced" if head == b"-BUSY" else "given up" if head[:1] == b"-" else "delivered"
 
 
 class Dispatcher:
-    """Calls the decisions for each queued event and carries out their results.
+    """Passes each queued event to the decision logic (`Gateway`) and carries out its results.
 
     Other tasks may call `enqueue` only; every other method runs in the dispatcher's own task.
     """
@@ -68,12 +71,12 @@
         self.peers: NotePublisher | None = None
         self.open_requests: dict[int, Request] = {}
         self.open_ids = set[bytes]()
-        self.last_number, self.leaving = 0, False
+        # Number of the latest request; and whether the node is shutting down and accepts no new requests.
+        self.last_request_number, self.leaving = 0, False
         self.permissions: Permissions | None = None  # None: everything is permitted
         self.servers_in_maintenance: frozenset[str] = frozenset()
-        self.listed_servers: dict[str, ListedServer] | None = (
-            None  # latest list of app servers; None: not kept
-        )
+        # The latest list of app servers by name; None: no list is maintained.
+        self.listed_servers: dict[str, ListedServer] | None = None
         # The dispatcher's own calls, made after the current results without passing through the queue.
         self.deferred_calls: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._queue = CallQueue(deployment.bounds.queue)
@@ -91,10 +94,11 @@
             self.log.say(f"a call failed: {traceback.format_exc()}", "call.failed")
 
     def carry_out(self) -> None:
-        """Carry out the results of the decisions until none is left.
+        """Carry out the results of the decision logic until none is left.
 
-        Sends come first, since later rows may refer to them. Each row is a call of its own, so that a failing
-        row affects no other, and the wake-up timer is set before any of them.
+        The wake-up timer is set first. Sends precede all other entries, which may refer to them. Each entry
+        but log lines and notes is carried out in a guarded call of its own, so that one that fails does not
+        prevent the others.
         """
         while True:
             now = self.clock.now()
@@ -110,8 +114,8 @@
                 self._call_safely(self._answer_without_server, (number, answer))
             for number in results.given_up:
                 self._call_safely(self._answer_without_server, (number, GIVEN_UP_ANSWER))
-            for withdrawal in results.withdrawn:
-                self._call_safely(self._cancel_attempt, withdrawal)
+            for execution in results.withdrawn:
+                self._call_safely(self._cancel_attempt, execution)
             for add in results.adds:
                 self._call_safely(self._add_to_counter, add)
             for note in results.notes:
@@ -125,7 +129,7 @@
     # Calls that other tasks put in the queue.
 
     def take(self, request: Request) -> None:
-        """Hand a new request to the decisions, or answer it at once where it cannot be accepted."""
+        """Pass a new request to the decision logic, or answer it at once where it cannot be accepted."""
         if request.client_gone:  # the client left while the request was queued
             return
         accepting = not self.leaving and (self.permissions is None or self.permissions.may_take())
@@ -137,7 +141,7 @@
             return
         self.open_ids.add(request.id)
         now = self.clock.now()
-        request.number = self.last_number = self.last_number + 1
+        request.number = self.last_request_number = self.last_request_number + 1
         self.open_requests[request.number] = request
         try:
             request.handle = self.gateway.take(
@@ -166,7 +170,7 @@
         self.deferred_calls.append((self._remove_if_done, (request,)))
 
     def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
-        """Handle the end of an attempt; the first successful answer becomes the request's answer."""
+        """Handle the end of an attempt; the first answer with a value becomes the request's answer."""
         if attempt.finished:
             return
         attempt.finished = True
@@ -195,13 +199,13 @@
                 answer.actual,
                 answer.report,
             )
-            # An attempt without a link was held back by this node and says nothing about the server.
+            # An attempt without a link was not sent by this node and does not reflect on the server.
             if server is not None and attempt.link is not None:
                 self.roster.ended(self.clock.now(), server.name, answer.outcome)
         self._remove_if_done(request)
 
     def attempt_timed_out(self, attempt: Attempt) -> None:
-        """Time an attempt out, unless its result is already in the queue."""
+        """Cancel an attempt at its timeout, unless its result is already in the queue."""
         if not attempt.finished and not attempt.result_queued:
             self.fleet.cancel(attempt)
             self.attempt_ended(attempt, Answer("timed_out" if attempt.written else "unreachable"))
@@ -222,9 +226,9 @@
         self.roster.listed(self.clock.now(), entries, complete)
 
     def follow_wall_clock(self) -> None:
-        """Pass steps of the wall clock on to the decisions.
+        """Apply steps of the wall clock to the decision logic.
 
-        All nodes derive the names of an epoch's counts from the wall clock.
+        All nodes derive the names of an epoch's counters from the wall clock.
         """
         if step := self.clock.wall_clock_step():
             self.log.say(f"the wall clock was stepped by {step:.3f} s", "clock.stepped", step_s=step)
@@ -232,7 +236,7 @@
 
     def set_servers_in_maintenance(self, servers: frozenset[str]) -> None:
         """Drain exactly these app servers for maintenance; others return to their listed state."""
-        assert self.listed_servers is not None, "the list of app servers is not kept"
+        assert self.listed_servers is not None, "no list of app servers is maintained"
         changed, self.servers_in_maintenance = self.servers_in_maintenance ^ servers, servers
         if entries := [
             self._with_maintenance(self.listed_servers[name])
@@ -242,7 +246,7 @@
             self.roster.listed(self.clock.now(), entries, False)
 
     def _apply_roster(self, entries: Sequence[Listing], complete: bool) -> None:
-        """Apply a list of the subset's app servers, or changes to it, to the connections and decisions."""
+        """Apply a list of the subset's app servers, or changes to it, to connections and `Gateway`."""
         self._log_subset()
         self.fleet.update_servers(entries, complete)
         self.gateway.roster(self.clock.now(), [entry.facts for entry in entries], complete)
@@ -263,25 +267,25 @@
         self.roster.resize(self.clock.now())
 
     def _with_maintenance(self, entry: ListedServer) -> ListedServer:
-        """Return an entry as draining where its server is taken out, which discovery does not show."""
+        """Return an entry as draining if its server is in maintenance, which discovery does not report."""
         if entry.facts.server not in self.servers_in_maintenance or entry.facts.presence != "on":
             return entry
         return ListedServer(replace(entry.facts, presence="draining"), entry.address)
 
-    def counted(self, name: int, outcome: CounterOutcome, total: float, elapsed: float) -> None:
+    def counted(self, counter_name: int, outcome: CounterOutcome, total: float, elapsed: float) -> None:
         """Handle the outcome of a call to the counter, made `elapsed` seconds ago."""
-        self.gateway.counted(self.clock.now(), name, outcome, total, elapsed)
+        self.gateway.counted(self.clock.now(), counter_name, outcome, total, elapsed)
 
-    def counted_late(self, name: int, total: float) -> None:
+    def counted_late(self, counter_name: int, total: float) -> None:
         """Handle the answer to a call to the counter that had already timed out."""
-        self.gateway.counted_late(self.clock.now(), name, total)
+        self.gateway.counted_late(self.clock.now(), counter_name, total)
 
     def noted(self, peer: int, payload: bytes) -> None:
         """Handle a note from another node."""
         self.gateway.noted(self.clock.now(), peer, payload)
 
     def woken(self) -> None:
-        """Handle the wake-up that the decisions asked for."""
+        """Handle the wake-up that the decision logic has scheduled."""
         self.gateway.wake(self.clock.now())
         self._resize_subset()
 
@@ -304,31 +308,31 @@
                 self.invariants.check(
                     late_s <= LATE_ANSWER_GRACE_S, Invariant.ANSWERED_IN_TIME, request.id, late_s=late_s
                 )
-                self._log_step_if_followed(request, "submission.overdue", late_s=late_s)
+                self._log_step_if_enabled(request, "submission.overdue", late_s=late_s)
                 self._set_answer(request, GIVEN_UP_ANSWER, DEADLINE_PASSED)
             if request.handle is not None and not request.handle.closed:
                 self._call_safely(request.handle.left, (now,))
             self._remove_if_done(request)
 
-    def _log_step_if_followed(self, request: Request, event: str, **fields: object) -> None:
+    def _log_step_if_enabled(self, request: Request, event: str, **fields: object) -> None:
         if self.log.logs_steps:
             self._log_step(request, event, **fields)
 
     def _log_step(self, request: Request, event: str, **fields: object) -> None:
-        """Log a step of a request, by which an id can be traced over nodes.
+        """Log a step of a request with its id, so that the request can be traced across nodes.
 
-        Callers check `log.follows` first, so that no fields are computed where steps are not logged.
+        Callers check `log.logs_steps` first, so that no fields are computed where steps are not logged.
         """
         self.log.say(
             "", event, submission=request.id.decode(), customer=request.customer, lane=request.lane, **fields
         )
 
-    # Results of the decisions.
+    # Results of the decision logic.
 
     def _begin_attempt(self, number: int, server: str, timeout_s: float, now: float) -> None:
         request = self.open_requests[number]
         until = min(request.deadline, now + timeout_s) if timeout_s else request.deadline
-        assert request.handle is not None, "sent before it was taken"
+        assert request.handle is not None, "an attempt begins before its request was taken"
         attempt = Attempt(
             request, request.attempt_count, now, until, request.handle.begin_by(request.attempt_count)
         )
@@ -337,18 +341,17 @@
         if self.log.logs_steps:
             left_s = request.deadline - now
             self._log_step(request, "execution.sent", attempt=attempt.number, server=server, left_s=left_s)
-        # Permission is checked at each send: a process that was suspended past the end of its lease sends
-        # before any of its timers fires.
+        # Checked at each send: a process resumed after the end of its lease may send before its timers fire.
         permitted = self.permissions is None or self.permissions.may_send(server)
         if permitted and not request.client_gone and self.fleet.send(server, attempt):
             self.timers.call_at(until, self.attempt_timed_out, attempt)
         else:
-            # The attempt has not run, which says nothing about the server.
+            # The attempt was not sent; "moot" does not count against the server.
             self.deferred_calls.append((self.attempt_ended, (attempt, Answer("moot"))))
 
-    def _add_to_counter(self, name: int, amount: float, keep_s: float) -> None:
-        if self.counter is None or not self.counter.add(name, amount, keep_s):
-            self.deferred_calls.append((self.counted, (name, "unreachable", 0.0, 0.0)))
+    def _add_to_counter(self, counter_name: int, amount: float, keep_s: float) -> None:
+        if self.counter is None or not self.counter.add(counter_name, amount, keep_s):
+            self.deferred_calls.append((self.counted, (counter_name, "unreachable", 0.0, 0.0)))
 
     def _cancel_attempt(self, number: int, attempt_number: int) -> None:
         request = self.open_requests.get(number)
@@ -365,7 +368,7 @@
             self._remove_if_done(request)
 
     def _set_answer(self, request: Request, answer: list[Buffer], why: str = "") -> None:
-        """Set a request's final answer, once; `why` is the reason where no app server gave it."""
+        """Set a request's final answer, unless it has one; `why` is the reason if no app server answered."""
         if request.answer is None and not request.client_gone:
             self.answer_counts[why or SERVER_ANSWERED] += 1
             if self.log.logs_steps:
@@ -374,7 +377,7 @@
             request.client.write_answers()
 
     def _remove_if_done(self, request: Request) -> None:
-        """Remove a request that has an answer, or no client, and no attempt out."""
+        """Remove a request without open attempts if it has an answer or its client is gone."""
         if not request.open_attempts and (request.client_gone or request.answer is not None):
             if self.open_requests.pop(request.number, None) is not None:
                 self.open_ids.discard(request.id)
