--- a/merlintally/choice.py
+++ b/merlintally/choice.py
@@ -305,7 +305,7 @@
             or self.plan.rate <= 0
         )
 
-    def epoch(self, now: float) -> tuple[int, float]:
+    def current_counter(self, now: float) -> tuple[int, float]:
         """The name of the current counter (an integer), and the seconds since its epoch began."""
         epoch_number, passed = divmod(now + self.wall_shift + self.epoch_offset, EPOCH_S)
         return count_name(self.key, int(epoch_number)), passed
@@ -320,7 +320,7 @@
         )
         # Otherwise each of many gateways admits one more submission by its credit while the bucket is empty.
         self.common_credit = min(self.common_credit, max(burst / self.gateways, self.common_rate * 0.5))
-        used, self.last_update_at = total - self.plan.rate * self.epoch(now)[1], now
+        used, self.last_update_at = total - self.plan.rate * self.current_counter(now)[1], now
         # After a long time without an update the deficit is unknown, and only `added` is carried over.
         deficit = burst - self.balance if since < STALE_AFTER_S else min(added, burst - self.balance)
         if added > 0 and total <= added * 1.000001:  # a new counter: raise it to the use known here
@@ -923,7 +923,7 @@
     def _send_add(self, now: float, customer: Customer) -> None:
         """Add all units drawn since the last add to the customer's current counter."""
         self.call_tokens -= 1
-        counter_name = customer.epoch(now)[0]
+        counter_name = customer.current_counter(now)[0]
         if counter_name != customer.counter_name:
             customer.counter_name, customer.counter_total = counter_name, 0.0
         self.pending_adds[counter_name], customer.pending_add, customer.units_to_add = (
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -203,7 +203,7 @@
         names = set()
         for dispatcher in (before, after):
             take(dispatcher.gateway, 2, now=dispatcher.clock.now(), key="c")
-            names.add(dispatcher.gateway.customers["c"].epoch(dispatcher.clock.now())[0])
+            names.add(dispatcher.gateway.customers["c"].current_counter(dispatcher.clock.now())[0])
         assert len(names) == 1
 
 
--- a/tests/test_throttler.py
+++ b/tests/test_throttler.py
@@ -37,7 +37,7 @@
     one = customer()
     one.balance = 3.0
     one.apply_count(1.0, 1.0, 100.0)
-    since = one.epoch(100.0)[1]
+    since = one.current_counter(100.0)[1]
     assert one.balance == 3.0
     assert abs(1.0 + one.units_to_add - PLAN.rate * since - (PLAN.burst - 3.0)) < 1e-6
 
@@ -46,7 +46,7 @@
     one = customer()
     one.last_update_at, one.balance = 60.0, -90.0
     one.apply_count(1.0, 1.0, 100.0)
-    assert abs(1.0 + one.units_to_add - PLAN.rate * one.epoch(100.0)[1] - 1.0) < 1e-6
+    assert abs(1.0 + one.units_to_add - PLAN.rate * one.current_counter(100.0)[1] - 1.0) < 1e-6
 
 
 def test_common_rate_grants_units_after_a_stale_update() -> None:
@@ -60,13 +60,13 @@
     one = customer(gateways=150)
     one.last_update_at = 0.0
     assert one.within_quota(1.0, 100.0)
-    one.apply_count(PLAN.rate * one.epoch(100.0)[1] + 9.0, 0.0, 100.0)
+    one.apply_count(PLAN.rate * one.current_counter(100.0)[1] + 9.0, 0.0, 100.0)
     assert not one.within_quota(1.0, 100.1) and not one.within_quota(1.0, 100.4)
 
 
 def test_update_sets_the_balance_from_the_counter() -> None:
     one = customer()
-    one.apply_count(PLAN.rate * one.epoch(100.0)[1] + 5.0, 0.0, 100.0)
+    one.apply_count(PLAN.rate * one.current_counter(100.0)[1] + 5.0, 0.0, 100.0)
     assert abs(one.balance - (PLAN.burst - 5.0)) < 1e-6
 
 
@@ -103,7 +103,7 @@
     for updated_at, balance in ((90.0, 3.0), (30.0, 5.0)):
         one = customer()
         one.last_update_at, one.balance, one.notes_complete, one.advanced_at = updated_at, 3.0, True, 100.0
-        one.apply_count(PLAN.rate * one.epoch(100.0)[1] + 3.0, 0.0, 100.0)
+        one.apply_count(PLAN.rate * one.current_counter(100.0)[1] + 3.0, 0.0, 100.0)
         assert abs(one.balance - balance) < 1e-6
 
 
@@ -144,7 +144,7 @@
 
 def test_counter_far_below_its_minimum_is_corrected_in_steps() -> None:
     one = customer()
-    one.apply_count(PLAN.rate * one.epoch(100.0)[1] - 1.5 * PLAN.burst, 0.0, 100.0)
+    one.apply_count(PLAN.rate * one.current_counter(100.0)[1] - 1.5 * PLAN.burst, 0.0, 100.0)
     assert one.balance == PLAN.burst and 0 < one.units_to_add <= PLAN.burst
 
 
@@ -176,7 +176,7 @@
     handle = take(decisions)
     ((name, claimed, _),) = decisions.take_results(100.0).adds
     assert not handle.closed and claimed == 1.0
-    full = PLAN.rate * decisions.customers["c"].epoch(100.0)[1] + PLAN.burst
+    full = PLAN.rate * decisions.customers["c"].current_counter(100.0)[1] + PLAN.burst
     decisions.counted(100.01, name, "ok", full + 1.0, 0.005)
     after = decisions.take_results(100.01)
     assert handle.closed and after.bounced and [row[1] for row in after.adds] == [-1.0]
@@ -199,7 +199,7 @@
     take(decisions)
     ((name, _, _),) = decisions.take_results(100.0).adds
     decisions.counted(100.05, name, "timed_out", 0.0, 0.05)
-    decisions.counted_late(100.06, name, PLAN.rate * one.epoch(100.06)[1] + PLAN.burst - 2.0)
+    decisions.counted_late(100.06, name, PLAN.rate * one.current_counter(100.06)[1] + PLAN.burst - 2.0)
     assert one.last_update_at == 100.06 and one.balance == pytest.approx(2.0)
 
 
@@ -275,7 +275,7 @@
     one = decisions.customers["c"]
     one.draw(4.0, 100.0)  # admitted without the counter
     decisions._send_add(100.0, one)
-    name, passed = one.epoch(100.0)
+    name, passed = one.current_counter(100.0)
     # The peers had used the whole burst.
     decisions.counted(100.0, name, "ok", PLAN.rate * passed + PLAN.burst + 4.0, 0.001)
     assert one.balance == pytest.approx(0.0) and decisions.results.adds[-1][1] == pytest.approx(-4.0)
@@ -286,7 +286,7 @@
     one = decisions.customers["c"]
     one.last_update_at = 90.0
     handle = take(decisions, units=2.0)
-    name, passed = one.epoch(100.0)
+    name, passed = one.current_counter(100.0)
     assert not handle.closed and decisions.results.adds[-1][1] == 2.0
     decisions.counted(100.0, name, "ok", PLAN.rate * passed + PLAN.burst + 2.0, 0.001)
     assert handle.closed and [amount for _, amount, _ in decisions.results.adds] == [2.0, pytest.approx(-2.0)]
@@ -306,7 +306,7 @@
             100.0,
             name,
             "ok",
-            one.epoch(100.0)[1] * PLAN.rate + drawn + (one.pending_add or 0.0),
+            one.current_counter(100.0)[1] * PLAN.rate + drawn + (one.pending_add or 0.0),
             0.001,
         )
         decisions.pending_adds.clear()
