--- a/merlintally/lab/builds/baselines.py
+++ b/merlintally/lab/builds/baselines.py
@@ -12,7 +12,7 @@
 
 from merlintally.interface import Refusal, Results, ServerFacts
 from merlintally.lab.builds.base import Build, TrueState
-from merlintally.lab.judge.referee import NEVER_RAN, Bucket
+from merlintally.lab.judge.referee import NO_EFFECT_OUTCOMES, Bucket
 from merlintally.lab.model.days import Day
 
 WAKE_S = 0.05
@@ -48,7 +48,7 @@
         if server is None:
             return
         self.gateway.ended(now, self, server, outcome)
-        if outcome in NEVER_RAN:
+        if outcome in NO_EFFECT_OUTCOMES:
             self.risky = [one for one in self.risky if one[0] != server]
         if over:
             self.closed = True
@@ -194,7 +194,7 @@
             )
             self.ceilings[key].level = 0.0
         part = self.ceilings[key]
-        if part.fill(now) < units:
+        if part.refill(now) < units:
             return False
         part.level -= units
         return True
@@ -211,7 +211,7 @@
         if key not in self.quotas:
             self.quotas[key] = Bucket(plan.rate / gateways, max(units, plan.burst / gateways), now)
         part = self.quotas[key]
-        if part.fill(now) < units or not self.ceiling(now, key, plan, units, gateways):
+        if part.refill(now) < units or not self.ceiling(now, key, plan, units, gateways):
             return False
         part.level -= units
         return True
@@ -230,7 +230,7 @@
         if key not in quotas:
             quotas[key] = Bucket(plan.rate, plan.burst, now)
         # its own copy of the books is drawn on at once, so that what is on its way counts, too
-        if quotas[key].fill(now) < units:
+        if quotas[key].refill(now) < units:
             return False
         quotas[key].level -= units
         return True
--- a/merlintally/lab/judge/__init__.py
+++ b/merlintally/lab/judge/__init__.py
@@ -1,1 +1,1 @@
-"""What judges a day: the referee and its books, and the account of what was lost, by cause."""
+"""Evaluation of a day: the referee, and the breakdown of what was lost by cause."""
--- a/merlintally/lab/model/servers.py
+++ b/merlintally/lab/model/servers.py
@@ -98,7 +98,7 @@
             return 1.0
         return rules.cold_share + (1 - rules.cold_share) * age / rules.warm_s
 
-    def bears(self, now: float) -> float:
+    def work_limit(self, now: float) -> float:
         """Core seconds that a cold server can be sent within the stated window before it falls over: the
         stated multiple of its ability, and two mean pieces, as work comes in lumps that nobody foresees."""
         rules, lanes = self.day.rules, self.day.lane
@@ -136,7 +136,7 @@
         self.lately += work
         while self.arrived[0][0] < now - self.day.rules.tip_window_s:
             self.lately -= self.arrived.popleft()[1]
-        if self.lately > self.bears(now):
+        if self.lately > self.work_limit(now):
             self.fell = True
             self.die()
 
