--- a/merlintally/lab/model/__init__.py
+++ b/merlintally/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of a day's world: event queue, requests, app servers, counter, discovery; and the days' files."""
+"""The simulated world: event queue, requests, app servers, counter and discovery; and the files of days."""
--- a/merlintally/lab/model/agenda.py
+++ b/merlintally/lab/model/agenda.py
@@ -1,4 +1,4 @@
-"""The one queue of events that orders all that happens in the world."""
+"""The event queue of a simulated world, and its streams of random numbers."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class Agenda:
-    """Calls at their times; those of one moment in the order in which they were put in.
+    """Queue of scheduled calls, ordered by time, and by order of scheduling at the same time.
 
-    Nothing is taken out again: what is no longer wanted sees that for itself. Times are seconds of the
+    A scheduled call can't be cancelled: the callee checks whether it still applies. Times are seconds of the
     world's clock.
 
     >>> agenda, seen = Agenda(), []
@@ -25,21 +25,23 @@
     (3, ['a', 'b', 'c'], 3.0)
     """
 
-    __slots__ = ("now", "heap", "serial")
+    __slots__ = ("now", "heap", "sequence")
 
     def __init__(self, now: float = 0.0) -> None:
-        self.now, self.serial = now, 0
+        self.now, self.sequence = now, 0
         self.heap: list[tuple[float, int, Call, tuple[Any, ...]]] = []
 
     def at(self, when: float, call: Call, *args: Any) -> None:
-        self.serial += 1
-        heapq.heappush(self.heap, (when if when > self.now else self.now, self.serial, call, args))
+        """Schedule a call at `when`, or now if that is past."""
+        self.sequence += 1
+        heapq.heappush(self.heap, (when if when > self.now else self.now, self.sequence, call, args))
 
     def after(self, delay: float, call: Call, *args: Any) -> None:
+        """Schedule a call in `delay` seconds."""
         self.at(self.now + delay, call, *args)
 
     def run(self, until: float) -> int:
-        """Make the calls that are due by `until`; gives how many there were."""
+        """Make the calls due by `until`, advance the clock to it and return the number of calls."""
         heap, pop, count = self.heap, heapq.heappop, 0
         while heap and heap[0][0] <= until:
             self.now, _, call, args = pop(heap)
@@ -49,11 +51,12 @@
         return count
 
     def next_at(self) -> float | None:
+        """Time of the next call, if there is one."""
         return self.heap[0][0] if self.heap else None
 
 
 def chance(seed: int, name: str) -> random.Random:
-    """A stream of chance of its own for each part of the world, alike in every process.
+    """A random generator for one part of the world, which depends only on the seed and the name.
 
     >>> chance(1, "servers").random() == chance(1, "servers").random() != chance(1, "front").random()
     True
--- a/merlintally/lab/model/discovery.py
+++ b/merlintally/lab/model/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: each edge node hears of the servers late, out of step, and now and then not at all."""
+"""Model of discovery: each edge node receives changes to the server list with a delay of its own."""
 
 from __future__ import annotations
 
@@ -9,68 +9,74 @@
 from merlintally.lab.model.days import DiscoveryForm
 from merlintally.lab.model.servers import Server
 
-Entry = tuple[str, str, int, int, float]  # server, presence, zone, cell, started (0: long ago)
-Hear = Callable[[list[Entry], bool], None]
+# server, presence, zone, cell, started (0: warm since before the day)
+Entry = tuple[str, str, int, int, float]
+ListCallback = Callable[[list[Entry], bool], None]
 
 
 class Discovery:
-    """Keeps the true list, and tells each listener of changes by way of its own delay."""
+    """Keeps the server list and sends changes to each listener, delayed at random."""
 
-    def __init__(self, form: DiscoveryForm, agenda: Agenda, dice: random.Random) -> None:
-        self.form, self.agenda, self.dice = form, agenda, dice
-        self.entries: dict[str, Entry] = {}  # as discovery has noticed them
-        self.listeners: dict[str, Hear] = {}
-        self.version, self.heard = 0, dict[str, int]()
-        self.extra, self.silent = 0.0, False
+    def __init__(self, form: DiscoveryForm, agenda: Agenda, rng: random.Random) -> None:
+        self.form, self.agenda, self.rng = form, agenda, rng
+        self.entries: dict[str, Entry] = {}
+        self.listeners: dict[str, ListCallback] = {}
+        self.version, self.received_versions = 0, dict[str, int]()
+        self.extra, self.silent = 0.0, False  # `extra`: added to every delay, seconds
 
     def entry(self, server: Server, presence: str) -> Entry:
+        """The list entry of a server's current process."""
         return server.name, presence, server.zone, server.cell, server.started
 
     def known(self, server: Server) -> None:
-        """Listed from before the day."""
+        """Add a server that was up before the day started, without sending an update."""
         self.entries[server.name] = self.entry(server, "on")
 
     def changed(self, server: Server, presence: str, at_once: bool = False) -> None:
-        """Something happened to a server; it is listed after a while, unless something newer came."""
-        wait = 0.0 if at_once else self.dice.uniform(*self.form.notice_s) + self.extra
-        self.agenda.after(wait, self._list, self.entry(server, presence))
-
-    def _list(self, entry: Entry) -> None:
-        before = self.entries.get(entry[0])
-        if before is not None and before[4] > entry[4]:
-            return  # of a process that is gone already
+        """Update a server's entry after the detection delay, unless a newer process is listed by then."""
+        delay_s = 0.0 if at_once else self.rng.uniform(*self.form.notice_s) + self.extra
+        self.agenda.after(delay_s, self._update, self.entry(server, presence))
+
+    def _update(self, entry: Entry) -> None:
+        previous = self.entries.get(entry[0])
+        if previous is not None and previous[4] > entry[4]:
+            return  # the entry is of an earlier process
         self.entries[entry[0]] = entry
         self.version += 1
         if not self.silent:
             for name in self.listeners:
                 self.agenda.after(
-                    self.dice.uniform(*self.form.spread_s) + self.extra, self._tell, name, [entry], False
+                    self.rng.uniform(*self.form.spread_s) + self.extra, self._send, name, [entry], False
                 )
 
-    def _tell(self, name: str, entries: list[Entry], whole: bool) -> None:
+    def _send(self, name: str, entries: list[Entry], whole: bool) -> None:
         if name in self.listeners and not self.silent:
-            # each listener gets what is listed now: what was on its way may be older
-            self.listeners[name]([self.entries.get(one[0], one) for one in entries], whole)
+            # Send current entries: they may have changed since the update was scheduled.
+            self.listeners[name]([self.entries.get(entry[0], entry) for entry in entries], whole)
 
-    def listen(self, name: str, hear: Hear) -> None:
-        """An edge node has come up: it hears the whole list soon."""
-        self.listeners[name] = hear
+    def listen(self, name: str, callback: ListCallback) -> None:
+        """Subscribe an edge node to updates, and send it the full list."""
+        self.listeners[name] = callback
         self.whole(name)
 
     def whole(self, name: str) -> None:
-        wait = self.dice.uniform(*self.form.spread_s) + self.extra
-        self.agenda.after(wait, self._tell_whole, name)
+        """Send one listener the full list after its delay."""
+        delay_s = self.rng.uniform(*self.form.spread_s) + self.extra
+        self.agenda.after(delay_s, self._send_full, name)
 
-    def _tell_whole(self, name: str) -> None:
-        self._tell(name, list(self.entries.values()), True)
+    def _send_full(self, name: str) -> None:
+        self._send(name, list(self.entries.values()), True)
 
     def leave(self, name: str) -> None:
+        """Unsubscribe an edge node."""
         self.listeners.pop(name, None)
 
     def silence(self) -> None:
+        """Stop sending updates."""
         self.silent = True
 
     def back(self) -> None:
+        """Resume sending updates, with the full list for every listener."""
         self.silent = False
         for name in self.listeners:
             self.whole(name)
--- a/merlintally/lab/model/record.py
+++ b/merlintally/lab/model/record.py
@@ -1,4 +1,4 @@
-"""The record of a day's events: lines of text whose digest tells whether two runs went alike."""
+"""The record of a day's events: text lines, and a digest by which two runs can be compared."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 
 
 class Record:
-    """Lines `TIME EVENT WORD...`, times in seconds of the world's clock with six digits. Lines are digested
-    as they come and, where a file is named, written there in blocks."""
+    """Lines `TIME EVENT WORD...`; TIME is in seconds of the world's clock, with six decimals.
 
-    BLOCK = 4096
+    Lines are added to the digest and, if `path` is given, to that file, in blocks.
+    """
+
+    BLOCK_LINES = 4096
 
     def __init__(self, path: Path | None = None) -> None:
         self.digest, self.lines = blake2b(digest_size=16), 0
@@ -18,8 +20,9 @@
         self.file = path.open("wb") if path is not None else None
 
     def line(self, now: float, event: str, words: str = "") -> None:
+        """Append a line."""
         self.pending.append(f"{now:.6f} {event} {words}\n")
-        if len(self.pending) >= self.BLOCK:
+        if len(self.pending) >= self.BLOCK_LINES:
             self._flush()
 
     def _flush(self) -> None:
@@ -31,7 +34,7 @@
             self.file.write(block)
 
     def close(self) -> str:
-        """The digest of all lines, in hex."""
+        """Write what is pending, close the file and return the digest of all lines, in hex."""
         self._flush()
         if self.file is not None:
             self.file.close()
--- a/merlintally/lab/model/requests.py
+++ b/merlintally/lab/model/requests.py
@@ -1,4 +1,4 @@
-"""What is asked: customers, and each first try of theirs with the tries that follow it. Free of I/O."""
+"""Customers, and their submissions: a first try and its retries. Free of I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 
 
 class Customer:
-    """A customer of a plan: its set of edge nodes, and how much it asks for."""
+    """A customer of a plan.
+
+    Its set of edge nodes is `spread` nodes from number `first` on, with `weights`. It uses `use` times its
+    quota, times `spiking` during a spike. `rate` is in units per second, `burst` in units.
+    """
 
     __slots__ = (
         "key",
@@ -40,7 +44,11 @@
 
 
 class First:
-    """A first try and all that follows it: its worth is earned once."""
+    """A first try and its retries, of which one can earn the worth.
+
+    `units` are the true units, `guess` the estimate sent with it; `work` is in core seconds; `left` counts
+    the retries left; `settled` is set once an answer was delivered.
+    """
 
     __slots__ = ("customer", "lane", "units", "guess", "work", "key", "asked", "left", "worth", "settled")
 
@@ -61,7 +69,7 @@
 
 
 class Try:
-    """One try of a client, at one edge node. It is over once it has its outcome or the client has left."""
+    """One try, at one edge node. It ends at its hard limit; `over`: it has an outcome, or its client left."""
 
     __slots__ = ("id", "first", "sent", "ends", "over")
 
--- a/merlintally/lab/model/settings.py
+++ b/merlintally/lab/model/settings.py
@@ -1,5 +1,7 @@
-"""What the edge nodes of a day are told at their start: the settings, as a real node's configuration has
-them. Simulated nodes read their facts from the same settings, by the same code."""
+"""The settings of a day's edge nodes, in the form of a real node's configuration.
+
+Simulated nodes read their facts from the same settings, with the same code.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +10,10 @@
 from merlintally.facts import EFFECTS
 from merlintally.lab.model.days import Day
 
-COPIES_PRICE = 1e-6  # of a note that goes by copies, which have a byte budget of their own
-REPEATS: dict[str, str] = {effect: word for word, effect in EFFECTS.items()}
+COPIES_PRICE = (
+    1e-6  # points of G for a note sent through the cluster's replication, which has its own byte budget
+)
+REPEAT_WORDS: dict[str, str] = {effect: word for word, effect in EFFECTS.items()}
 
 
 def settings_of(day: Day, number: int) -> dict[str, Any]:
@@ -26,7 +30,7 @@
                 "deadlineS": one.hard_limit_s,
                 "importance": one.gain,
                 "lateWorth": one.late_gain,
-                "repeat": REPEATS[one.effect],
+                "repeat": REPEAT_WORDS[one.effect],
                 "keyScope": one.group,
                 "windowS": one.remembered_s,
             }
