--- a/merlintally/lab/__init__.py
+++ b/merlintally/lab/__init__.py
@@ -1,8 +1,8 @@
-"""The laboratory: a world of app servers, counter, discovery, clients and troubles round many gateways.
+"""The laboratory: many gateways in a modelled world of app servers, counter, discovery, clients and failures.
 
-The world is free of I/O. It is run in simulated time round gateways in one process (`play`), or in real time
-behind sockets round real node processes (`live`). A referee keeps its own books of what happened (`judge`).
+The model is free of I/O. It runs in simulated time with all gateways in one process (`play`), or in real time
+behind sockets with real node processes (`live`). A referee checks the rules independently (`judge`).
 
-These packages import only from those named before them: `model`, `judge`, `tell`, `builds`, `play`, `live`,
+These packages import only from those listed before them: `model`, `judge`, `tell`, `builds`, `play`, `live`,
 `faults`; `schedules` imports none of them.
 """
--- a/merlintally/lab/builds/__init__.py
+++ b/merlintally/lab/builds/__init__.py
@@ -1,1 +1,1 @@
-"""Builds of the decisions that a day is played with: the module, a revision or file of it, or a baseline."""
+"""Builds of the decisions that can play a day: the current module, another revision or file, or baselines."""
--- a/merlintally/lab/builds/baselines.py
+++ b/merlintally/lab/builds/baselines.py
@@ -1,8 +1,8 @@
-"""Decisions beside the module's, by which a figure says how far there is to go; and broken ones.
+"""Baseline decisions for comparison, and broken ones that test the referee.
 
-`let-all` admits everything and picks servers at random. `even` grants each edge node of a customer's set an
-even, static part of its quota. `oracle` sees the true state of all quotas and servers, which no gateway can.
-The broken ones each break one rule on purpose, to prove that the referee catches it.
+`let-all` admits everything and picks servers at random. `even` gives each edge node of a customer's set an
+equal, static share of its quota. `oracle` uses the true state of all quotas and servers, which no real
+gateway can. Each broken one violates one rule, which the referee must report.
 """
 
 from __future__ import annotations
@@ -15,24 +15,25 @@
 from merlintally.lab.judge.referee import NO_EFFECT_OUTCOMES, Bucket
 from merlintally.lab.model.days import Day
 
-WAKE_S = 0.05
+RETRY_INTERVAL_S = 0.05
 
 
 class Handle:
-    """A taken submission of a simple gateway: tried again while that is safe, on another server."""
+    """A submission of a simple gateway, retried on another server as long as that is safe."""
 
     def __init__(
-        self, gateway: Simple, number: int, lane: Any, units: float, now: float, time_left: float
+        self, gateway: SimpleGateway, number: int, lane: Any, units: float, now: float, time_left: float
     ) -> None:
         self.gateway, self.id, self.lane, self.units = gateway, number, lane, units
-        self.taken, self.ends = now, now + time_left - 0.03
-        self.sends, self.closed = 0, False
-        self.out: dict[int, str] = {}
-        self.risky: list[tuple[str, float]] = []  # servers that may have begun it, and when
+        self.taken_at, self.deadline = now, now + time_left - 0.03
+        self.send_count, self.closed = 0, False
+        self.in_flight: dict[int, str] = {}  # execution number -> server
+        self.may_have_run: list[tuple[str, float]] = []  # servers that may have run it, and sending times
 
     @property
     def settled(self) -> bool:
-        return self.closed and not self.out
+        """Whether it has its final answer and no execution is in flight."""
+        return self.closed and not self.in_flight
 
     def ended(
         self,
@@ -44,26 +45,28 @@
         actual: float = 0.0,
         report: Any = None,
     ) -> None:
-        server = self.out.pop(number, None)
+        """An execution has ended."""
+        server = self.in_flight.pop(number, None)
         if server is None:
             return
         self.gateway.ended(now, self, server, outcome)
         if outcome in NO_EFFECT_OUTCOMES:
-            self.risky = [one for one in self.risky if one[0] != server]
+            self.may_have_run = [one for one in self.may_have_run if one[0] != server]
         if over:
             self.closed = True
-        if not self.closed and not self.out:
-            self.gateway.again(now, self)
+        if not self.closed and not self.in_flight:
+            self.gateway.retry(now, self)
 
     def begun(self, now: float, number: int) -> None:
-        """The answer has begun to come: nothing to decide."""
+        """The answer has started to arrive: nothing to decide."""
 
     def left(self, now: float) -> None:
+        """The client has gone away."""
         self.gateway.close(self)
 
 
-class Simple:
-    """What the simple gateways share: the same calls as the module's, and the rules on repeats and drains."""
+class SimpleGateway:
+    """Base of the simple gateways: the interface of `choice.Gateway`, and the rules on repeats and drains."""
 
     def __init__(self, facts: Any, seed: int, now: float) -> None:
         self.facts, self.random, self.results = facts, random.Random(seed), Results()
@@ -71,7 +74,7 @@
         self.plans = {one.name: one for one in facts.plans}
         self.servers: dict[str, ServerFacts] = {}
         self.waiting: list[Handle] = []
-        self.started = now
+        self.started_at = now
 
     def take(
         self,
@@ -84,6 +87,7 @@
         units: float,
         gateways: int,
     ) -> Handle:
+        """Take a submission: send it or bounce it."""
         handle = Handle(self, number, self.lanes[lane], units, now, time_left)
         if self.admits(now, key, self.plans[plan], units, gateways):
             self.send(now, handle)
@@ -92,116 +96,126 @@
         return handle
 
     def admits(self, now: float, key: str, plan: Any, units: float, gateways: int) -> bool:
+        """Whether the customer may have these units now."""
         return True
 
-    def pick(self, now: float, handle: Handle) -> str | None:
-        """A server at random, of those that a repeat may go to."""
+    def pick_server(self, now: float, handle: Handle) -> str | None:
+        """A random server among those that this submission may be sent to."""
         names = [one.server for one in self.servers.values() if self.may_send(now, handle, one)]
         return self.random.choice(names) if names else None
 
     def may_send(self, now: float, handle: Handle, server: ServerFacts) -> bool:
+        """Whether rules 2, 3 and 4 permit sending it to this server."""
         if server.presence != "on":
             return False
         if server.started > 0 and now - server.started < self.facts.warm_within:
-            return False  # nothing to cold servers: simple, and safe
+            return False  # cold servers get nothing, which satisfies rule 4
         lane = handle.lane
-        for name, since in handle.risky:
+        for name, sent_at in handle.may_have_run:
             other = self.servers.get(name)
             if lane.effect == "one-shot" or other is None:
                 return bool(lane.effect == "harmless")
             if lane.effect == "stamped":
-                same = lane.discard_group == "all" or (
+                same_group = lane.discard_group == "all" or (
                     other.zone == server.zone and (lane.discard_group == "zone" or other.cell == server.cell)
                 )
-                if not same or now - since > lane.remembered - 0.1:
+                if not same_group or now - sent_at > lane.remembered - 0.1:
                     return False
         return True
 
     def send(self, now: float, handle: Handle) -> None:
-        if now >= handle.ends or handle.sends >= self.facts.most_executions:
+        """Send it to a server; wait for one up to 0.5 s, and finish it if there is none."""
+        if now >= handle.deadline or handle.send_count >= self.facts.most_executions:
             return self.finish(now, handle, Refusal.BEYOND_QUOTA)
-        server = self.pick(now, handle)
+        server = self.pick_server(now, handle)
         if server is None:
-            if handle.risky or now > handle.taken + 0.5:
+            if handle.may_have_run or now > handle.taken_at + 0.5:
                 return self.finish(now, handle, Refusal.BEYOND_QUOTA)
             self.waiting.append(handle)
             return
-        handle.out[handle.sends] = server
-        handle.risky.append((server, now))
-        handle.sends += 1
+        handle.in_flight[handle.send_count] = server
+        handle.may_have_run.append((server, now))
+        handle.send_count += 1
         self.results.sends.append((handle.id, server, 0.0))
 
     def ended(self, now: float, handle: Handle, server: str, outcome: str) -> None:
-        """An execution is over; policies that count what is out take it off."""
+        """An execution has ended; for gateways that count executions in flight."""
 
-    def again(self, now: float, handle: Handle) -> None:
+    def retry(self, now: float, handle: Handle) -> None:
+        """Send it again after a failure."""
         self.send(now, handle)
 
     def finish(self, now: float, handle: Handle, why: Refusal) -> None:
+        """Give the final answer: bounced if the client may safely repeat it, otherwise given up."""
         if handle.closed:
             return
-        safe = not handle.risky or handle.lane.effect == "harmless"
-        if safe:
+        may_repeat = not handle.may_have_run or handle.lane.effect == "harmless"
+        if may_repeat:
             self.results.bounced.append((handle.id, 0.0))
         else:
             self.results.given_up.append(handle.id)
         handle.closed = True
 
     def close(self, handle: Handle) -> None:
+        """Withdraw the executions of a submission whose client has gone away."""
         if not handle.closed:
             handle.closed = True
-            self.results.withdrawn.extend((handle.id, number) for number in handle.out)
+            self.results.withdrawn.extend((handle.id, number) for number in handle.in_flight)
 
     def roster(self, now: float, entries: list[ServerFacts], complete: bool) -> None:
+        """Update the list of servers; `complete` if it replaces the list."""
         if complete:
             self.servers.clear()
         self.servers.update((one.server, one) for one in entries)
 
     def counted(self, now: float, name: int, outcome: str, total: float, elapsed: float) -> None:
-        """These do not use the counter."""
+        """Not used: these gateways don't call the counter."""
 
     def noted(self, now: float, peer: int, payload: bytes) -> None:
-        """These send no notes."""
+        """Not used: these gateways don't send notes."""
 
     def wake(self, now: float) -> None:
+        """Retry the submissions that wait for a server."""
         waiting, self.waiting = self.waiting, []
         for handle in waiting:
             if not handle.closed:
                 self.send(now, handle)
 
     def take_results(self, now: float) -> Results:
+        """Results since the last call."""
         results, self.results = self.results, Results()
-        results.wake_after = WAKE_S if self.waiting else None
+        results.wake_after = RETRY_INTERVAL_S if self.waiting else None
         return results
 
 
-class LetAll(Simple):
-    """Everything is admitted, but for what the ceiling's even part does not hold."""
+class AdmitsAll(SimpleGateway):
+    """Admits everything within an equal share of the ceiling."""
 
     def __init__(self, facts: Any, seed: int, now: float) -> None:
         super().__init__(facts, seed, now)
         self.ceilings: dict[str, Bucket] = {}
 
     def admits(self, now: float, key: str, plan: Any, units: float, gateways: int) -> bool:
-        return self.ceiling(now, key, plan, units, gateways)
+        return self.within_ceiling(now, key, plan, units, gateways)
 
-    def ceiling(self, now: float, key: str, plan: Any, units: float, gateways: int) -> bool:
+    def within_ceiling(self, now: float, key: str, plan: Any, units: float, gateways: int) -> bool:
+        """Draw units from this gateway's share of the ceiling; False if it is short of them."""
         if plan.ceiling_rate <= 0:
             return True
-        if key not in self.ceilings:  # fills from empty: a restart refills nothing
+        if key not in self.ceilings:  # starts empty, so that a restart grants no units
             self.ceilings[key] = Bucket(
-                plan.ceiling_rate / gateways, plan.ceiling_burst / gateways, self.started
+                plan.ceiling_rate / gateways, plan.ceiling_burst / gateways, self.started_at
             )
             self.ceilings[key].level = 0.0
-        part = self.ceilings[key]
-        if part.refill(now) < units:
+        share = self.ceilings[key]
+        if share.refill(now) < units:
             return False
-        part.level -= units
+        share.level -= units
         return True
 
 
-class Even(LetAll):
-    """Each gateway of a customer's set grants an even, static part of its quota."""
+class EvenShares(AdmitsAll):
+    """Gives each gateway of a customer's set an equal, static share of its quota."""
 
     def __init__(self, facts: Any, seed: int, now: float) -> None:
         super().__init__(facts, seed, now)
@@ -210,15 +224,15 @@
     def admits(self, now: float, key: str, plan: Any, units: float, gateways: int) -> bool:
         if key not in self.quotas:
             self.quotas[key] = Bucket(plan.rate / gateways, max(units, plan.burst / gateways), now)
-        part = self.quotas[key]
-        if part.refill(now) < units or not self.ceiling(now, key, plan, units, gateways):
+        share = self.quotas[key]
+        if share.refill(now) < units or not self.within_ceiling(now, key, plan, units, gateways):
             return False
-        part.level -= units
+        share.level -= units
         return True
 
 
-class Oracle(Simple):
-    """Sees the referee's books and the true state of the servers: an upper mark, not a policy."""
+class Oracle(SimpleGateway):
+    """Uses quotas shared by all gateways and the true state of the servers: an upper bound."""
 
     def __init__(self, facts: Any, seed: int, now: float, world: TrueState) -> None:
         super().__init__(facts, seed, now)
@@ -229,100 +243,106 @@
         quotas = shared.setdefault("quotas", {})
         if key not in quotas:
             quotas[key] = Bucket(plan.rate, plan.burst, now)
-        # its own copy of the books is drawn on at once, so that what is on its way counts, too
+        # Charged on admission, so that executions on their way to a server count.
         if quotas[key].refill(now) < units:
             return False
         quotas[key].level -= units
         return True
 
-    def pick(self, now: float, handle: Handle) -> str | None:
-        """The server that truly does it soonest."""
-        best, least = None, float("inf")
+    def pick_server(self, now: float, handle: Handle) -> str | None:
+        """The server with the least cost by its true state: expected time, and penalties for failures."""
+        best, least_cost = None, float("inf")
         for facts in self.servers.values():
             server = self.world.servers[facts.server]
             if server.state != "up" or facts.presence != "on" or not self.may_send(now, handle, facts):
                 continue
-            out = self.world.shared.setdefault("out", {}).get(server.name, 0)
-            expected = (max(server.held, out) + 1) * server.slow / (server.speed * server.warmth(now))
-            expected += server.late * 10 + 100 * (server.errors > 0.2)
-            if expected < least:
-                best, least = server.name, expected
+            in_flight = self.world.shared.setdefault("out", {}).get(server.name, 0)
+            cost = (max(server.held, in_flight) + 1) * server.slow / (server.speed * server.warmth(now))
+            cost += server.late * 10 + 100 * (server.errors > 0.2)
+            if cost < least_cost:
+                best, least_cost = server.name, cost
         if best is not None:
-            out = self.world.shared.setdefault("out", {})
-            out[best] = out.get(best, 0) + 1
+            counts = self.world.shared.setdefault("out", {})
+            counts[best] = counts.get(best, 0) + 1
         return best
 
     def ended(self, now: float, handle: Handle, server: str, outcome: str) -> None:
-        out = self.world.shared.setdefault("out", {})
-        out[server] = max(0, out.get(server, 0) - 1)
+        counts = self.world.shared.setdefault("out", {})
+        counts[server] = max(0, counts.get(server, 0) - 1)
 
 
 class Baseline(Build):
-    """A build whose gateway is one of the simple ones."""
+    """A build whose gateway is one of the simple gateways."""
 
-    kinds: dict[str, Any] = {"let-all": LetAll, "even": Even, "oracle": Oracle}
+    gateway_classes: dict[str, Any] = {"let-all": AdmitsAll, "even": EvenShares, "oracle": Oracle}
 
     def __init__(self, name: str) -> None:
         super().__init__(name, "merlintally", f"baseline-{name}")
 
     def gateway(self, day: Day, number: int, seed: int, now: float, world: TrueState) -> Any:
-        facts, kind = self.facts(day, number), self.kinds[self.name]
-        return kind(facts, seed, now, world) if kind is Oracle else kind(facts, seed, now)
+        facts, gateway_class = self.facts(day, number), self.gateway_classes[self.name]
+        return (
+            gateway_class(facts, seed, now, world)
+            if gateway_class is Oracle
+            else gateway_class(facts, seed, now)
+        )
 
 
-class TwoAnswers(LetAll):
-    """Rule 1: gives a second final answer now and then."""
+class AnswersTwice(AdmitsAll):
+    """Breaks rule 1: gives a second final answer to some submissions."""
 
     def ended(self, now: float, handle: Handle, server: str, outcome: str) -> None:
         if outcome == "ok" and handle.id % 7 == 0:
             self.results.given_up.append(handle.id)
 
 
-class RepeatsAll(LetAll):
-    """Rule 2: a one-shot that broke is sent again."""
+class RepeatsOneShots(AdmitsAll):
+    """Breaks rule 2: sends a one-shot submission again after a failure."""
 
     def may_send(self, now: float, handle: Handle, server: ServerFacts) -> bool:
         return server.presence == "on"
 
-    def again(self, now: float, handle: Handle) -> None:
-        handle.risky.clear()
-        super().again(now, handle)
+    def retry(self, now: float, handle: Handle) -> None:
+        handle.may_have_run.clear()
+        super().retry(now, handle)
 
 
-class IgnoresDrains(LetAll):
-    """Rule 3: goes on sending to servers that drain."""
+class IgnoresDrains(AdmitsAll):
+    """Breaks rule 3: sends to draining servers."""
 
     def may_send(self, now: float, handle: Handle, server: ServerFacts) -> bool:
-        return server.presence != "gone" and (not handle.risky or handle.lane.effect == "harmless")
+        return server.presence != "gone" and (not handle.may_have_run or handle.lane.effect == "harmless")
 
 
-class HeatsCold(LetAll):
-    """Rule 4: the newest server gets all the work."""
+class OverloadsColdServers(AdmitsAll):
+    """Breaks rule 4: sends all work to the newest server."""
 
-    def pick(self, now: float, handle: Handle) -> str | None:
-        if handle.risky:
+    def pick_server(self, now: float, handle: Handle) -> str | None:
+        if handle.may_have_run:
             return None
         newest = max(
             (one for one in self.servers.values() if one.presence == "on"),
             key=lambda one: one.started,
             default=None,
         )
-        return newest.server if newest is not None and newest.started > 0 else super().pick(now, handle)
+        return (
+            newest.server if newest is not None and newest.started > 0 else super().pick_server(now, handle)
+        )
 
 
-class NoCeiling(LetAll):
-    """Rule 5: looks at no ceiling."""
+class IgnoresCeilings(AdmitsAll):
+    """Breaks rule 5: ignores the ceiling."""
 
-    def ceiling(self, now: float, key: str, plan: Any, units: float, gateways: int) -> bool:
+    def within_ceiling(self, now: float, key: str, plan: Any, units: float, gateways: int) -> bool:
         return True
 
 
 BROKEN: dict[str, Any] = {
-    "broken-answers": TwoAnswers,
-    "broken-repeats": RepeatsAll,
+    "broken-answers": AnswersTwice,
+    "broken-repeats": RepeatsOneShots,
     "broken-drains": IgnoresDrains,
-    "broken-cold": HeatsCold,
-    "broken-ceilings": NoCeiling,
+    "broken-cold": OverloadsColdServers,
+    "broken-ceilings": IgnoresCeilings,
 }
-Baseline.kinds.update(BROKEN)
-BASELINES: dict[str, type[Baseline]] = {name: Baseline for name in Baseline.kinds}
+Baseline.gateway_classes.update(BROKEN)
+BASELINES: dict[str, type[Baseline]] = {name: Baseline for name in Baseline.gateway_classes}
--- a/merlintally/lab/builds/earlier_names.py
+++ b/merlintally/lab/builds/earlier_names.py
@@ -1,4 +1,4 @@
-"""Names of earlier revisions, so that an earlier choice.py runs with the current modules around it."""
+"""Aliases for names of earlier revisions, so that an earlier choice.py runs with the current modules."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def add_aliases(module: ModuleType) -> None:
-    """Make the names of `ALIASES` available in a module of a build where it does not define them itself."""
+    """Make the names of `ALIASES` available in a module of a build that does not define them itself."""
     module_name = module.__name__.rpartition(".")[2]
     for owner, names in ALIASES.items():
         owner_module, _, class_name = owner.partition(".")
--- a/merlintally/lab/builds/loading.py
+++ b/merlintally/lab/builds/loading.py
@@ -1,4 +1,4 @@
-"""Finds builds by name and loads them: the module as it stands, a revision or file of it, or a baseline."""
+"""Loads builds by name: the current module, another revision or file of it, or a baseline."""
 
 from __future__ import annotations
 
@@ -18,11 +18,13 @@
 from merlintally.lab.builds.baselines import BASELINES
 from merlintally.lab.builds.earlier_names import add_aliases
 
-PACKAGE = Path(__file__).resolve().parents[2]  # the folder of the module as it stands
-IMPORTS = re.compile(r"^(\s*(?:from|import)\s+)merlintally\b", re.MULTILINE)
+PACKAGE = Path(__file__).resolve().parents[2]  # folder of the current modules
+PACKAGE_IMPORT = re.compile(r"^(\s*(?:from|import)\s+)merlintally\b", re.MULTILINE)
 
 
 class _Loader(importlib.abc.Loader):
+    """Executes given source as a module, with aliases for earlier names."""
+
     def __init__(self, source: str, origin: str) -> None:
         self.source, self.origin = source, origin
 
@@ -32,7 +34,7 @@
 
 
 class _Finder(importlib.abc.MetaPathFinder):
-    """Finds the modules of one build under a package name of its own; its imports are led there, too."""
+    """Finds the modules of one build under its own package name, to which their imports are rewritten."""
 
     def __init__(self, package: str, read: Callable[[str], str | None]) -> None:
         self.package, self.read = package, read
@@ -47,16 +49,20 @@
         source = self.read(fullname.removeprefix(f"{self.package}.").replace(".", "/") + ".py")
         if source is None:
             return None
-        told = IMPORTS.sub(rf"\g<1>{self.package}", source)
-        return importlib.machinery.ModuleSpec(fullname, _Loader(told, fullname))
+        rewritten = PACKAGE_IMPORT.sub(rf"\g<1>{self.package}", source)
+        return importlib.machinery.ModuleSpec(fullname, _Loader(rewritten, fullname))
 
 
-def _git(*words: str) -> str | None:
-    done = subprocess.run(["git", *words], capture_output=True, text=True, check=False, cwd=PACKAGE.parent)
-    return done.stdout if done.returncode == 0 else None
+def _git(*arguments: str) -> str | None:
+    """Output of a git command in the checkout; None if it fails."""
+    result = subprocess.run(
+        ["git", *arguments], capture_output=True, text=True, check=False, cwd=PACKAGE.parent
+    )
+    return result.stdout if result.returncode == 0 else None
 
 
-def _loaded(name: str, origin: str, read: Callable[[str], str | None]) -> Build:
+def _load_build(name: str, origin: str, read: Callable[[str], str | None]) -> Build:
+    """The build whose modules `read` gives by path; `origin` makes its package name unique."""
     text = read("choice.py") or ""
     digest = blake2b(text.encode(), digest_size=6).hexdigest()
     package = f"merlintally_build_{blake2b(origin.encode(), digest_size=4).hexdigest()}_{digest}"
@@ -66,11 +72,14 @@
 
 
 def build(name: str) -> Build:
-    """`here`; `git:REVISION`; the path of another choice.py, or of a folder that holds one beside its
-    modules; or a baseline. Faults if there is no such build."""
-    own = PACKAGE
+    """Load a build; Faults if there is none of that name.
+
+    `name` is `here`, `git:REVISION`, the path of another choice.py or of a folder with one and perhaps other
+    modules, or the name of a baseline.
+    """
+    current = PACKAGE
     if name == "here":
-        text = (own / "choice.py").read_text(encoding="utf-8")
+        text = (current / "choice.py").read_text(encoding="utf-8")
         return Build(name, "merlintally", blake2b(text.encode(), digest_size=6).hexdigest())
     if name in BASELINES:
         return BASELINES[name](name)
@@ -78,21 +87,27 @@
         revision = _git("rev-parse", "--verify", "--quiet", f"{name[4:]}^{{commit}}")
         if revision is None or _git("cat-file", "-e", f"{revision.strip()}:merlintally/choice.py") is None:
             raise Faults([f"{name}: no such revision, or it has no merlintally/choice.py"])
-        return _loaded(name, name, lambda path: _git("show", f"{revision.strip()}:merlintally/{path}"))
+        return _load_build(name, name, lambda file: _git("show", f"{revision.strip()}:merlintally/{file}"))
     path = Path(name)
     if path.is_dir() and (path / "choice.py").is_file():
-        return _loaded(name, str(path.resolve()), lambda part: _text(path / part) or _text(own / part))
+        return _load_build(
+            name,
+            str(path.resolve()),
+            lambda module: _read_text(path / module) or _read_text(current / module),
+        )
     if path.is_file():
-        return _loaded(
-            name, str(path.resolve()), lambda part: _text(path if part == "choice.py" else own / part)
+        return _load_build(
+            name,
+            str(path.resolve()),
+            lambda module: _read_text(path if module == "choice.py" else current / module),
         )
     raise Faults(
         [
             f"{name}: there is no such build{nearest(name, ['here', *BASELINES])}; "
-            f"here, git:REVISION, a path, or one of {', '.join(BASELINES)}"
+            f"use here, git:REVISION, a path, or one of {', '.join(BASELINES)}"
         ]
     )
 
 
-def _text(path: Path) -> str | None:
+def _read_text(path: Path) -> str | None:
     return path.read_text(encoding="utf-8") if path.is_file() else None
