--- a/merlintally/lab/model/requests.py
+++ b/merlintally/lab/model/requests.py
@@ -8,8 +8,9 @@
 class Customer:
     """A customer of a plan.
 
-    Its set of edge nodes is `spread` nodes from number `first` on, with `weights`. It uses `use` times its
-    quota, times `spiking` during a spike. `rate` is in units per second, `burst` in units.
+    Its set of edge nodes is `spread` nodes from number `first` on, with `weights`.
+    Its traffic is `use` times the quota, times `spiking` during a spike. `rate` is in units per second,
+    `burst` in units.
     """
 
     __slots__ = (
@@ -46,8 +47,8 @@
 class First:
     """A first try and its retries, of which one can earn the worth.
 
-    `units` are the true units, `guess` the estimate sent with it; `work` is in core seconds; `left` counts
-    the retries left; `settled` is set once an answer was delivered.
+    `units` are the true units, `guess` is the estimate sent with it; `work` is in core seconds;
+    `left` counts the remaining retries; `settled` is set once an answer was delivered.
     """
 
     __slots__ = ("customer", "lane", "units", "guess", "work", "key", "asked", "left", "worth", "settled")
@@ -69,7 +70,7 @@
 
 
 class Try:
-    """One try, at one edge node. It ends at its hard limit; `over`: it has an outcome, or its client left."""
+    """One try at one edge node. It ends at its hard limit; `over`: has an outcome, or its client left."""
 
     __slots__ = ("id", "first", "sent", "ends", "over")
 
--- a/merlintally/lab/model/settings.py
+++ b/merlintally/lab/model/settings.py
@@ -10,9 +10,8 @@
 from merlintally.facts import EFFECTS
 from merlintally.lab.model.days import Day
 
-COPIES_PRICE = (
-    1e-6  # points of G for a note sent through the cluster's replication, which has its own byte budget
-)
+# Points of G for a note sent through the cluster's replication, which has its own byte budget.
+COPIES_PRICE = 1e-6
 REPEAT_WORDS: dict[str, str] = {effect: word for word, effect in EFFECTS.items()}
 
 
