--- a/merlintally/cli/lab.py
+++ b/merlintally/cli/lab.py
@@ -341,7 +341,7 @@
         with bar(found.name) as progress:
             drive(world, lambda part: progress(100 * part))
     finally:
-        watch.off()
+        watch.restore()
     rows = watch.account.table()
     if as_json:
         told(rows, True, ())
--- a/merlintally/lab/builds/baselines.py
+++ b/merlintally/lab/builds/baselines.py
@@ -258,7 +258,7 @@
                 continue
             in_flight = self.world.shared.setdefault("out", {}).get(server.name, 0)
             cost = (max(server.held, in_flight) + 1) * server.slow / (server.speed * server.warmth(now))
-            cost += server.late * 10 + 100 * (server.errors > 0.2)
+            cost += server.extra_time_s * 10 + 100 * (server.errors > 0.2)
             if cost < least_cost:
                 best, least_cost = server.name, cost
         if best is not None:
--- a/merlintally/lab/faults/play.py
+++ b/merlintally/lab/faults/play.py
@@ -34,7 +34,7 @@
 from merlintally.lab.model.record import Record
 from merlintally.lab.model.requests import Try
 from merlintally.lab.model.servers import Server
-from merlintally.lab.model.settings import COPIES_PRICE
+from merlintally.lab.model.settings import REPLICATED_NOTE_PRICE
 from merlintally.lab.play.simulation import latest
 from merlintally.lab.tell.figures import figures
 
@@ -66,9 +66,9 @@
         self._orphan(node)
         super().died(node, now)
 
-    def excused(self, node: str) -> None:
+    def waive_answers(self, node: str) -> None:
         self._orphan(node)
-        super().excused(node)
+        super().waive_answers(node)
 
     def _orphan(self, node: str) -> None:
         self.orphans |= {key for key, one in self.open.items() if one.node == node}
@@ -89,7 +89,7 @@
     def answered(self, node: str, trying: Try, kind: str, now: float) -> None:
         if not self._late(trying):
             if trying.id in self.orphans:  # read, late, by a process that was stopped when it was sent
-                self.open[trying.id].ends = max(now, self.open[trying.id].ends)
+                self.open[trying.id].deadline = max(now, self.open[trying.id].deadline)
             super().answered(node, trying, kind, now)
         self.diary.add("answered", id=f"{trying.id:016x}", by=node, how=kind)
 
@@ -117,7 +117,7 @@
         if self.live.scenario.cluster is not None and self.live.scenario.cluster.copies:
             for key in ("peer_listen", "peers", "peers_all"):  # use is told by copies and not by notes
                 found.pop(key)
-            found["settings"]["prices"]["peer"] = COPIES_PRICE
+            found["settings"]["prices"]["peer"] = REPLICATED_NOTE_PRICE
         return found
 
     def operators(self) -> Path:
@@ -345,7 +345,7 @@
                 ends = time.monotonic() + lasts
                 while time.monotonic() < ends:  # what its machine accepts meanwhile is nobody's fault
                     await asyncio.sleep(0.25)
-                    self.world.referee.excused(node.name)
+                    self.world.referee.waive_answers(node.name)
                 node.resume()
             elif kind == "full":
                 await self._full(node, lasts)
--- a/merlintally/lab/judge/account.py
+++ b/merlintally/lab/judge/account.py
@@ -97,7 +97,7 @@
 
 
 class Watch:
-    """Wraps the gateways of one build and the referee of one world; `off` restores the build."""
+    """Wraps the gateways of one build and the referee of one world; `restore` undoes it for the build."""
 
     def __init__(self, world: JudgedWorld, build: WatchedBuild) -> None:
         self.world, self.account = world, Account()
@@ -162,7 +162,7 @@
                     first.customer.plan,
                     cause,
                     first.worth,
-                    first.guess,
+                    first.estimated_units,
                 )
             answered(node, trying, kind, now)
 
@@ -175,7 +175,7 @@
                     submission.first.customer.plan,
                     cause,
                     submission.first.worth,
-                    submission.first.guess,
+                    submission.first.estimated_units,
                 )
 
         referee.asked = first_asked  # type: ignore[method-assign]
@@ -183,6 +183,6 @@
         referee.answered = was_answered  # type: ignore[method-assign]
         referee._charge_units = units_charged  # type: ignore[method-assign]
 
-    def off(self) -> None:
+    def restore(self) -> None:
         """Restore the build's own methods; the referee's stay wrapped."""
         self.gateway_class.finish, self.gateway_class._queue, self.gateway_class._ask = self.originals
--- a/merlintally/lab/judge/referee.py
+++ b/merlintally/lab/judge/referee.py
@@ -38,7 +38,15 @@
 class CustomerUsage:
     """Use of the quota and the ceiling by one customer, over all gateways."""
 
-    __slots__ = ("customer", "quota", "offered_quota", "ceiling", "least", "open_executions", "by_second")
+    __slots__ = (
+        "customer",
+        "quota",
+        "offered_quota",
+        "ceiling",
+        "lowest_ceiling_level",
+        "open_executions",
+        "by_second",
+    )
 
     def __init__(self, customer: Customer, now: float) -> None:
         self.customer = customer
@@ -46,7 +54,7 @@
         self.quota, self.offered_quota = (Bucket(customer.rate, customer.burst, now) for _ in range(2))
         multiple = customer.form.ceiling
         self.ceiling = Bucket(customer.rate * multiple, customer.burst * multiple, now) if multiple else None
-        self.least, self.open_executions = 0.0, 0  # `least`: lowest level of `ceiling`, 0 or below
+        self.lowest_ceiling_level, self.open_executions = 0.0, 0  # 0 or below
         self.by_second: dict[int, float] = defaultdict(float)  # units that reached a server
 
 
@@ -67,7 +75,7 @@
     node: str
     first: First
     taken_at: float
-    ends: float  # time of its hard limit
+    deadline: float  # time of its hard limit
     executions: dict[int, Execution] = field(default_factory=dict)
     final_answer: str = ""  # delivered, bounced, given up; left or died where there is none
     answer_waived: bool = False  # its client left, or its edge node hung
@@ -96,7 +104,7 @@
 
     def __init__(self, day: Day, started: float, record: Record, max_breaches: int = 20) -> None:
         self.day, self.started, self.record, self.max_breaches = day, started, record, max_breaches
-        self.books: dict[str, CustomerUsage] = {}
+        self.usage_by_customer: dict[str, CustomerUsage] = {}
         self.open: dict[int, Submission] = {}
         self.closed: dict[
             int, Submission
@@ -113,7 +121,7 @@
         self.answer_times: list[float] = []
         self.first_sends: list[float] = []
         self.work_sent = self.work_served = self.work_asked = 0.0
-        self.cost = 0.0  # worth lost by units sent beyond quotas
+        self.beyond_quota_cost = 0.0  # worth lost by units sent beyond quotas
         self.units_sent = self.units_beyond = 0.0
         self.out_samples: list[tuple[float, dict[str, int]]] = []
 
@@ -129,17 +137,17 @@
 
     def usage_of(self, customer: Customer, now: float) -> CustomerUsage:
         """The customer's usage; its buckets start full."""
-        if customer.key not in self.books:
-            self.books[customer.key] = CustomerUsage(customer, now)
-        return self.books[customer.key]
+        if customer.key not in self.usage_by_customer:
+            self.usage_by_customer[customer.key] = CustomerUsage(customer, now)
+        return self.usage_by_customer[customer.key]
 
     # Clients.
 
     def asked(self, first: First) -> None:
         """A client makes a first try. The worth offered is what one gateway with all traffic would admit."""
-        now, form = first.asked, first.customer.form
+        now, form = first.asked_at, first.customer.form
         bucket = self.usage_of(first.customer, now).offered_quota
-        admitted = bucket.refill(now) >= first.guess
+        admitted = bucket.refill(now) >= first.estimated_units
         if admitted:
             bucket.level -= first.units
         offered = first.worth * (1.0 if admitted else form.beyond_gain)
@@ -150,7 +158,7 @@
         self.record.line(
             now,
             "asked",
-            f"{first.key} {first.customer.key} {first.lane.name} {first.units:g} {first.guess:g} "
+            f"{first.key} {first.customer.key} {first.lane.name} {first.units:g} {first.estimated_units:g} "
             f"{admitted:d}",
         )
 
@@ -160,7 +168,7 @@
         if first.settled or submission is None:
             return
         first.settled = True
-        elapsed = now - first.asked
+        elapsed = now - first.asked_at
         self.answer_times.append(now - trying.sent)
         in_time = now - trying.sent <= first.lane.quoted_time_s
         earned = first.worth * (1.0 if in_time else first.lane.late_gain)
@@ -168,17 +176,17 @@
             earned *= first.customer.form.beyond_gain
         self.counts["in time" if in_time else "late"] += 1
         self.by_plan[first.customer.plan][1] += earned
-        self.by_second["earned"][self._second_of(first.asked)] += earned
+        self.by_second["earned"][self._second_of(first.asked_at)] += earned
         self.work_served += first.work
         self.record.line(now, "delivered", f"{trying.id} {elapsed:.6f}")
 
-    def left(self, trying: Try, early: bool) -> None:
+    def client_left(self, trying: Try, early: bool) -> None:
         """A client has gone away: before its stated time was over (`early`), or after it without an answer,
         which breaks rule 1."""
         if (submission := self.open.pop(trying.id, None)) is None:
             return
         if not early and not submission.answer_waived:
-            self.add_lost(trying.id, submission, submission.ends)
+            self.add_lost(trying.id, submission, submission.deadline)
         submission.final_answer, submission.answer_waived = "left", True
         self.closed[trying.id] = submission
 
@@ -187,7 +195,7 @@
     def taken(self, node: str, trying: Try, now: float) -> None:
         """An edge node has received a submission."""
         self.counts["tries"] += 1
-        self.open[trying.id] = Submission(node, trying.first, now, trying.ends)
+        self.open[trying.id] = Submission(node, trying.first, now, trying.deadline)
         self.record.line(now, "taken", f"{node} {trying.id} {trying.first.key}")
 
     def sent(self, node: str, trying: Try, number: int, server: Server, now: float) -> None:
@@ -198,7 +206,7 @@
         if submission is None:
             return self.add_breach(1, now, f"{trying.id} was sent to {server.name} after its final answer")
         rules, lane = self.day.rules, submission.first.lane
-        if now > submission.ends + rules.slack_s:
+        if now > submission.deadline + rules.slack_s:
             self.add_breach(1, now, f"{trying.id} was sent to {server.name} after its hard limit")
         if not submission.executions:
             self.first_sends.append(now - submission.taken_at)
@@ -253,21 +261,21 @@
     def _charge_units(self, submission: Submission, usage: CustomerUsage, now: float) -> None:
         first, form = submission.first, submission.first.customer.form
         open_limit = form.open_limit
-        submission.within_quota = usage.quota.refill(now) >= first.guess and not (
+        submission.within_quota = usage.quota.refill(now) >= first.estimated_units and not (
             open_limit and usage.open_executions >= open_limit
         )
-        self.units_sent += first.guess
-        usage.by_second[self._second_of(now)] += first.guess
+        self.units_sent += first.estimated_units
+        usage.by_second[self._second_of(now)] += first.estimated_units
         if submission.within_quota:
-            usage.quota.level -= first.guess
+            usage.quota.level -= first.estimated_units
         else:
-            self.units_beyond += first.guess
-            self.cost += form.beyond_cost * first.worth
-            self.by_second["beyond"][self._second_of(now)] += first.guess
+            self.units_beyond += first.estimated_units
+            self.beyond_quota_cost += form.beyond_cost * first.worth
+            self.by_second["beyond"][self._second_of(now)] += first.estimated_units
         if usage.ceiling is not None:
             usage.ceiling.refill(now)
-            usage.ceiling.level -= first.guess
-            usage.least = min(usage.least, usage.ceiling.level)
+            usage.ceiling.level -= first.estimated_units
+            usage.lowest_ceiling_level = min(usage.lowest_ceiling_level, usage.ceiling.level)
             slack = max(form.ceiling_slack * usage.ceiling.depth, float(self.day.traffic.units))
             if usage.ceiling.level < -slack - 1e-6:
                 self.add_breach(
@@ -307,14 +315,15 @@
             return
         execution = submission.executions[number]
         if execution.reached and not execution.outcome:
-            self.books[submission.first.customer.key].open_executions -= 1
+            self.usage_by_customer[submission.first.customer.key].open_executions -= 1
         execution.outcome = outcome
         if outcome == "ok" and submission.within_quota and not submission.first.settled:
             # The first good answer carries the true units: refund the difference.
-            usage = self.books[submission.first.customer.key]
+            usage = self.usage_by_customer[submission.first.customer.key]
             usage.quota.refill(now)
             usage.quota.level = min(
-                usage.quota.depth, usage.quota.level + submission.first.guess - submission.first.units
+                usage.quota.depth,
+                usage.quota.level + submission.first.estimated_units - submission.first.units,
             )
 
     def answered(self, node: str, trying: Try, kind: str, now: float) -> None:
@@ -325,9 +334,9 @@
             return self.add_breach(1, now, f"{trying.id} got a second final answer: {kind}")
         submission.final_answer = kind
         self.closed[trying.id] = submission
-        if now > submission.ends + self.day.rules.slack_s:
+        if now > submission.deadline + self.day.rules.slack_s:
             self.add_breach(
-                1, now, f"{trying.id} was answered {now - submission.ends:.3f} s after its hard limit"
+                1, now, f"{trying.id} was answered {now - submission.deadline:.3f} s after its hard limit"
             )
         if kind == "delivered" and not any(
             execution.outcome == "ok" for execution in submission.executions.values()
@@ -370,11 +379,11 @@
         self.closed = {
             key: submission
             for key, submission in self.closed.items()
-            if now < submission.ends + 2.0
+            if now < submission.deadline + 2.0
             or any(not execution.outcome for execution in submission.executions.values())
         }
 
-    def told(
+    def servers_listed(
         self, node: str, entries: list[tuple[str, str, int, int, float]], whole: bool, now: float
     ) -> None:
         """Discovery sends an edge node server entries; `whole` if they are the full list."""
@@ -402,7 +411,7 @@
                 del self.open[key]
         self.presence.pop(node, None)
 
-    def excused(self, node: str) -> None:
+    def waive_answers(self, node: str) -> None:
         """An edge node hung: its open submissions need no answer in time."""
         for submission in self.open.values():
             if submission.node == node:
--- a/merlintally/lab/live/processes.py
+++ b/merlintally/lab/live/processes.py
@@ -138,12 +138,12 @@
 
     def hang(self) -> None:
         self.stopped = True
-        self.live.world.referee.excused(self.name)
+        self.live.world.referee.waive_answers(self.name)
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
         self.stopped = False
-        self.live.world.referee.excused(self.name)
+        self.live.world.referee.waive_answers(self.name)
         self._signal(signal.SIGCONT)
 
     def _signal(self, number: signal.Signals) -> None:
@@ -185,11 +185,11 @@
         """The request's id and its command."""
         first = trying.first
         customer, wire = first.customer, b"%016x" % trying.id
-        left = max(1, int((trying.ends - self.live.pump.tick()) * 1000))
+        left = max(1, int((trying.deadline - self.live.pump.tick()) * 1000))
         terms = f"c={first.lane.name},t={customer.plan},d={left}"
         if first.lane.effect == "stamped":
             terms += f",k={first.key}"
-        terms += f",units={first.guess:g},spread={customer.spread},first={customer.first}"
+        terms += f",units={first.estimated_units:g},spread={customer.spread},first={customer.first_node}"
         words = [
             b"Q.ASK" if first.lane.effect == "harmless" else b"Q.DO",
             customer.key.encode(),
@@ -247,7 +247,7 @@
             live.pump.tick()
             if not reached or not self.alive or self.starts != life:
                 # it never came there, or its node was killed: nobody's fault
-                referee.left(trying, True)
+                referee.client_left(trying, True)
             front.failed(trying)
         finally:
             self.open.pop(trying.id, None)
--- a/merlintally/lab/live/standins.py
+++ b/merlintally/lab/live/standins.py
@@ -81,7 +81,7 @@
         self.port = live.free_port()
         self.listener: asyncio.Server | None = None
         self.connections: set[asyncio.StreamWriter] = set()
-        server.watch = self._watched
+        server.on_process_change = self._watched
 
     def _watched(self, what: str) -> None:
         self.live.soon(self.open if what == "start" else self.shut)
@@ -233,7 +233,7 @@
             }
             for name, presence, zone, cell, started in shown
         ]
-        live.world.referee.told(self.name, shown, since is None, live.pump.tick())
+        live.world.referee.servers_listed(self.name, shown, since is None, live.pump.tick())
         return json.dumps({"index": self.index, "snapshot": since is None, "endpoints": rows}).encode()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/merlintally/lab/model/agenda.py
+++ b/merlintally/lab/model/agenda.py
@@ -55,10 +55,11 @@
         return self.heap[0][0] if self.heap else None
 
 
-def chance(seed: int, name: str) -> random.Random:
+def random_stream(seed: int, name: str) -> random.Random:
     """A random generator for one part of the world, which depends only on the seed and the name.
 
-    >>> chance(1, "servers").random() == chance(1, "servers").random() != chance(1, "front").random()
+    >>> first, second = random_stream(1, "servers"), random_stream(1, "servers")
+    >>> first.random() == second.random() != random_stream(1, "front").random()
     True
     """
     return random.Random(int.from_bytes(blake2b(f"{seed}/{name}".encode(), digest_size=8).digest(), "big"))
--- a/merlintally/lab/model/days.py
+++ b/merlintally/lab/model/days.py
@@ -177,7 +177,7 @@
         """Units that may be used at once; at least a few submissions of the largest size."""
         return max(self.units_per_s * self.burst_s, largest * (4.0 if self.ceiling else 2.0))
 
-    def most_spread(self, largest: int) -> float:
+    def max_spread(self, largest: int) -> float:
         """Most edge nodes of a set; with a ceiling, each share of it holds two of the largest submissions."""
         return max(2.0, self.burst(largest) * self.ceiling / (2 * largest)) if self.ceiling else float("inf")
 
--- a/merlintally/lab/model/discovery.py
+++ b/merlintally/lab/model/discovery.py
@@ -22,19 +22,19 @@
         self.entries: dict[str, Entry] = {}
         self.listeners: dict[str, ListCallback] = {}
         self.version, self.received_versions = 0, dict[str, int]()
-        self.extra, self.silent = 0.0, False  # `extra`: added to every delay, seconds
+        self.extra_delay_s, self.silent = 0.0, False  # `extra_delay_s` is added to every delay
 
     def entry(self, server: Server, presence: str) -> Entry:
         """The list entry of a server's current process."""
         return server.name, presence, server.zone, server.cell, server.started
 
-    def known(self, server: Server) -> None:
+    def add_initial(self, server: Server) -> None:
         """Add a server that was up before the day started, without sending an update."""
         self.entries[server.name] = self.entry(server, "on")
 
     def changed(self, server: Server, presence: str, at_once: bool = False) -> None:
         """Update a server's entry after the detection delay, unless a newer process is listed by then."""
-        delay_s = 0.0 if at_once else self.rng.uniform(*self.form.notice_s) + self.extra
+        delay_s = 0.0 if at_once else self.rng.uniform(*self.form.notice_s) + self.extra_delay_s
         self.agenda.after(delay_s, self._update, self.entry(server, presence))
 
     def _update(self, entry: Entry) -> None:
@@ -46,7 +46,11 @@
         if not self.silent:
             for name in self.listeners:
                 self.agenda.after(
-                    self.rng.uniform(*self.form.spread_s) + self.extra, self._send, name, [entry], False
+                    self.rng.uniform(*self.form.spread_s) + self.extra_delay_s,
+                    self._send,
+                    name,
+                    [entry],
+                    False,
                 )
 
     def _send(self, name: str, entries: list[Entry], whole: bool) -> None:
@@ -54,29 +58,29 @@
             # Send current entries: they may have changed since the update was scheduled.
             self.listeners[name]([self.entries.get(entry[0], entry) for entry in entries], whole)
 
-    def listen(self, name: str, callback: ListCallback) -> None:
+    def subscribe(self, name: str, callback: ListCallback) -> None:
         """Subscribe an edge node to updates, and send it the full list."""
         self.listeners[name] = callback
-        self.whole(name)
+        self.send_full_list(name)
 
-    def whole(self, name: str) -> None:
+    def send_full_list(self, name: str) -> None:
         """Send one listener the full list after its delay."""
-        delay_s = self.rng.uniform(*self.form.spread_s) + self.extra
+        delay_s = self.rng.uniform(*self.form.spread_s) + self.extra_delay_s
         self.agenda.after(delay_s, self._send_full, name)
 
     def _send_full(self, name: str) -> None:
         self._send(name, list(self.entries.values()), True)
 
-    def leave(self, name: str) -> None:
+    def unsubscribe(self, name: str) -> None:
         """Unsubscribe an edge node."""
         self.listeners.pop(name, None)
 
-    def silence(self) -> None:
+    def stop_updates(self) -> None:
         """Stop sending updates."""
         self.silent = True
 
-    def back(self) -> None:
+    def resume_updates(self) -> None:
         """Resume sending updates, with the full list for every listener."""
         self.silent = False
         for name in self.listeners:
-            self.whole(name)
+            self.send_full_list(name)
--- a/merlintally/lab/model/requests.py
+++ b/merlintally/lab/model/requests.py
@@ -8,8 +8,8 @@
 class Customer:
     """A customer of a plan.
 
-    Its set of edge nodes is `spread` nodes from number `first` on, with `weights`.
-    Its traffic is `use` times the quota, times `spiking` during a spike. `rate` is in units per second,
+    Its set of edge nodes is `spread` nodes from number `first_node` on, with `weights`.
+    Its traffic is `use` times the quota, times `spike_factor` during a spike. `rate` is in units per second,
     `burst` in units.
     """
 
@@ -19,12 +19,12 @@
         "form",
         "rate",
         "burst",
-        "first",
+        "first_node",
         "spread",
         "weights",
         "use",
         "kind",
-        "spiking",
+        "spike_factor",
     )
 
     def __init__(
@@ -33,46 +33,63 @@
         form: PlanForm,
         rate: float,
         burst: float,
-        first: int,
+        first_node: int,
         spread: int,
         use: float,
         kind: str,
     ) -> None:
         self.key, self.form, self.plan, self.rate, self.burst = key, form, form.name, rate, burst
-        self.first, self.spread, self.use, self.kind = first, spread, use, kind
+        self.first_node, self.spread, self.use, self.kind = first_node, spread, use, kind
         self.weights: list[float] = []
-        self.spiking = 1.0
+        self.spike_factor = 1.0
 
 
 class First:
     """A first try and its retries, of which one can earn the worth.
 
-    `units` are the true units, `guess` is the estimate sent with it; `work` is in core seconds;
-    `left` counts the remaining retries; `settled` is set once an answer was delivered.
+    `units` are the true units, `estimated_units` is the estimate sent with it; `work` is in core seconds;
+    `retries_left` counts the remaining retries; `settled` is set once an answer was delivered.
     """
 
-    __slots__ = ("customer", "lane", "units", "guess", "work", "key", "asked", "left", "worth", "settled")
+    __slots__ = (
+        "customer",
+        "lane",
+        "units",
+        "estimated_units",
+        "work",
+        "key",
+        "asked_at",
+        "retries_left",
+        "worth",
+        "settled",
+    )
 
     def __init__(
         self,
         customer: Customer,
         lane: LaneForm,
         units: float,
-        guess: float,
+        estimated_units: float,
         work: float,
         key: str,
-        asked: float,
-        left: int,
+        asked_at: float,
+        retries_left: int,
     ) -> None:
-        self.customer, self.lane, self.units, self.guess, self.work = customer, lane, units, guess, work
-        self.key, self.asked, self.left, self.settled = key, asked, left, False
+        self.customer, self.lane, self.units, self.estimated_units, self.work = (
+            customer,
+            lane,
+            units,
+            estimated_units,
+            work,
+        )
+        self.key, self.asked_at, self.retries_left, self.settled = key, asked_at, retries_left, False
         self.worth = lane.gain * customer.form.price * units
 
 
 class Try:
-    """One try at one edge node. It ends at its hard limit; `over`: has an outcome, or its client left."""
+    """One try at one edge node. `deadline` is its hard limit; `over`: has an outcome, or its client left."""
 
-    __slots__ = ("id", "first", "sent", "ends", "over")
+    __slots__ = ("id", "first", "sent", "deadline", "over")
 
-    def __init__(self, number: int, first: First, sent: float, ends: float) -> None:
-        self.id, self.first, self.sent, self.ends, self.over = number, first, sent, ends, False
+    def __init__(self, number: int, first: First, sent: float, deadline: float) -> None:
+        self.id, self.first, self.sent, self.deadline, self.over = number, first, sent, deadline, False
--- a/merlintally/lab/model/servers.py
+++ b/merlintally/lab/model/servers.py
@@ -81,10 +81,10 @@
         )
         self.state: State = "up"
         self.slow = 1.0  # factor on the time of a piece
-        # `errors`: share of pieces that fail; `late`: seconds added to each piece.
-        self.errors, self.late, self.connections = fleet.errors, 0.0, 0
-        self.fell = False  # does not come back
-        self.watch: Callable[[str], None] | None = None  # called with "start" and "die"
+        # `errors`: share of pieces that fail; `extra_time_s` is added to the time of each piece.
+        self.errors, self.extra_time_s, self.connections = fleet.errors, 0.0, 0
+        self.failed_for_good = False  # does not come back
+        self.on_process_change: Callable[[str], None] | None = None  # called with "start" and "die"
         self.start(started)
 
     def start(self, started: float) -> None:
@@ -96,8 +96,8 @@
         self.recent_work = 0.0  # sum of the work in `recent_arrivals`, core seconds
         self.connections = 0
         self.last_report: tuple[float, dict[str, float]] = (-1e9, {})
-        if self.watch is not None:
-            self.watch("start")
+        if self.on_process_change is not None:
+            self.on_process_change("start")
 
     def warmth(self, now: float) -> float:
         """Current share of its full speed, which rises linearly while it warms up."""
@@ -132,7 +132,7 @@
             return
         if self.started > 0 and now - self.started < self.day.rules.warm_s:
             self._add_cold_work(now, piece.work)
-            if self.fell:
+            if self.failed_for_good:
                 piece.phase = "over"
                 piece.done("broken", piece)
                 return
@@ -148,7 +148,7 @@
         while self.recent_arrivals[0][0] < now - self.day.rules.tip_window_s:
             self.recent_work -= self.recent_arrivals.popleft()[1]
         if self.recent_work > self.work_limit(now):
-            self.fell = True
+            self.failed_for_good = True
             self.die()
 
     def _start_queued(self, now: float) -> None:
@@ -171,7 +171,9 @@
         fleet = self.day.fleet
         overcommit = max(1.0, len(self.running) / fleet.cores)
         thrash = 1 + fleet.thrash * len(self.running) / self.slots
-        return piece.work * overcommit * thrash * self.slow / (self.speed * self.warmth(now)) + self.late
+        return (
+            piece.work * overcommit * thrash * self.slow / (self.speed * self.warmth(now)) + self.extra_time_s
+        )
 
     def _finish(self, piece: Piece) -> None:
         if self.running.pop(piece, piece) is piece or piece.phase != "running":
@@ -201,8 +203,8 @@
         self.state = "dead"
         lost, self.running, self.waiting = [*self.running, *self.waiting], {}, deque()
         self.connections = 0
-        if self.watch is not None:
-            self.watch("die")
+        if self.on_process_change is not None:
+            self.on_process_change("die")
         for piece in lost:
             if piece.phase != "dropped":
                 piece.phase = "over"
--- a/merlintally/lab/model/settings.py
+++ b/merlintally/lab/model/settings.py
@@ -11,7 +11,7 @@
 from merlintally.lab.model.days import Day
 
 # Points of G for a note sent through the cluster's replication, which has its own byte budget.
-COPIES_PRICE = 1e-6
+REPLICATED_NOTE_PRICE = 1e-6
 REPEAT_WORDS: dict[str, str] = {effect: word for word, effect in EFFECTS.items()}
 
 
@@ -68,7 +68,10 @@
             "idleCloseS": fleet.idle_close_s,
         },
         "report": {"names": ["queue", "inflight", "util"] if fleet.report else []},
-        "prices": {"peer": COPIES_PRICE if day.notes.copied_s else day.notes.price, "waste": day.goal.waste},
+        "prices": {
+            "peer": REPLICATED_NOTE_PRICE if day.notes.copied_s else day.notes.price,
+            "waste": day.goal.waste,
+        },
         "rules": {
             "drainGraceS": rules.drain_grace_s,
             "coldFrom": rules.cold_share,
--- a/merlintally/lab/play/front.py
+++ b/merlintally/lab/play/front.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 
 from merlintally.lab.judge.referee import Referee
-from merlintally.lab.model.agenda import Agenda, chance
+from merlintally.lab.model.agenda import Agenda, random_stream
 from merlintally.lab.model.days import Day, PlanForm
 from merlintally.lab.model.requests import Customer, First, Try
 
@@ -50,8 +50,10 @@
 
     def __init__(self, day: Day, seed: int, agenda: Agenda, nodes: list[Node], referee: Referee) -> None:
         self.day, self.agenda, self.nodes, self.referee = day, agenda, nodes, referee
-        self.dice = chance(seed, "front")
-        self.asks = chance(seed, "arrivals")  # apart, so that what is asked does not depend on the answers
+        self.dice = random_stream(seed, "front")
+        self.asks = random_stream(
+            seed, "arrivals"
+        )  # apart, so that what is asked does not depend on the answers
         self.down = [False] * len(nodes)  # as the front sees it
         self.last_id, self.last_key, self.strangers = 0, 0, 0
         self.factor, self.plan_factor = 1.0, dict[str, float]()
@@ -60,7 +62,7 @@
         weights = [1.0 / one for one in range(1, day.traffic.units + 1)]  # the larger, the rarer
         self.sizes = [(at + 1, weight / sum(weights)) for at, weight in enumerate(weights)]
         self.mean_units = sum(size * weight for size, weight in self.sizes)
-        self.customers = list(self._customers(chance(seed, "customers")))
+        self.customers = list(self._customers(random_stream(seed, "customers")))
         total = sum(one.share for one in day.lane)
         self.lanes = [(one, one.share / total) for one in day.lane]
 
@@ -89,7 +91,7 @@
         traffic, size = self.day.traffic, len(self.nodes)
         rate, burst = form.units_per_s, form.burst(traffic.units)
         part = max(2.0, size * dice.uniform(*form.spread))
-        spread = min(size, round(min(part, form.most_spread(traffic.units))))
+        spread = min(size, round(min(part, form.max_spread(traffic.units))))
         made = Customer(key, form, rate, burst, dice.randrange(size), spread, use, kind)
         self.reweigh(made, dice)
         return made
@@ -122,7 +124,7 @@
     def _rate(self, customer: Customer) -> float:
         """Submissions a second of a customer, now."""
         plan = self.plan_factor.get(customer.plan, 1.0)
-        return customer.rate * customer.use * customer.spiking * self.factor * plan / self.mean_units
+        return customer.rate * customer.use * customer.spike_factor * self.factor * plan / self.mean_units
 
     def _next(self, customer: Customer) -> None:
         """The next arrival, by thinning: rates may change meanwhile, so look again every half a second."""
@@ -145,7 +147,7 @@
 
     def _spike(self, customer: Customer, on: bool) -> None:
         traffic = self.day.traffic
-        customer.spiking = self.asks.uniform(*traffic.spike_x) / max(customer.use, 0.1) if on else 1.0
+        customer.spike_factor = self.asks.uniform(*traffic.spike_x) / max(customer.use, 0.1) if on else 1.0
         wait = self.asks.uniform(*(traffic.spike_s if on else traffic.spike_every_s))
         self.agenda.after(wait, self._spike, customer, not on)
 
@@ -207,7 +209,7 @@
         reach = self.dice.uniform(*self.day.network.client_s)
         self.agenda.after(reach, self._deliver, node, trying)
         early = self.dice.random() < self.impatient
-        leaves = now + patience * self.dice.uniform(0.1, 0.9) if early else trying.ends
+        leaves = now + patience * self.dice.uniform(0.1, 0.9) if early else trying.deadline
         self.agenda.at(
             leaves + reach + (0 if early else self.day.rules.slack_s), self._leave, node, trying, early
         )
@@ -215,7 +217,7 @@
     def _pick(self, customer: Customer) -> Node | None:
         """An edge node of the customer's set, by its weights, of those that the front does not see down."""
         size = len(self.nodes)
-        numbers = [(customer.first + at) % size for at in range(customer.spread)]
+        numbers = [(customer.first_node + at) % size for at in range(customer.spread)]
         weights = [
             0.0 if self.down[number] else weight
             for number, weight in zip(numbers, customer.weights, strict=True)
@@ -235,7 +237,7 @@
         if trying.over:
             return
         trying.over = True
-        self.referee.left(trying, early)
+        self.referee.client_left(trying, early)
         if node.alive:
             node.leave(trying)
         if not early:
@@ -256,9 +258,9 @@
     def _again(self, trying: Try, wait: float = 0.0) -> None:
         """A client may try once more, at once or after a while."""
         first, clients = trying.first, self.day.clients
-        if first.left <= 0 or first.settled:
+        if first.retries_left <= 0 or first.settled:
             return
-        first.left -= 1
+        first.retries_left -= 1
         pause = self.dice.uniform(*clients.wait_s)
         if wait and self.dice.random() < clients.honour:
             pause = max(pause, wait)
--- a/merlintally/lab/play/nodes.py
+++ b/merlintally/lab/play/nodes.py
@@ -70,16 +70,16 @@
         seed = self.dice.getrandbits(64)
         self.gateway = self.build.gateway(world.day, self.number, seed, world.agenda.now, world)
         if self.known:
-            world.referee.told(self.name, self.known, True, world.agenda.now)
+            world.referee.servers_listed(self.name, self.known, True, world.agenda.now)
             self.gateway.roster(world.agenda.now, [self.build.server(one) for one in self.known], True)
-        world.discovery.listen(self.name, self.listed)
+        world.discovery.subscribe(self.name, self.listed)
         self.carry_out()
 
     def kill(self) -> None:
         """The process ends at once: its connections are reset."""
         world = self.world
         self.alive = False
-        world.discovery.leave(self.name)
+        world.discovery.unsubscribe(self.name)
         world.referee.died(self.name, world.agenda.now)
         for taken in self.taken.values():
             for execution in taken.out.values():
@@ -93,7 +93,7 @@
         self.taken, self.gateway = {}, None
 
     def moved(self, ends: float) -> None:
-        self.world.discovery.whole(self.name)
+        self.world.discovery.send_full_list(self.name)
 
     def restart(self, up: Callable[[], None]) -> None:
         self.start()
@@ -120,12 +120,12 @@
 
     def hang(self) -> None:
         self.hung = True
-        self.world.referee.excused(self.name)
+        self.world.referee.waive_answers(self.name)
 
     def resume(self) -> None:
         """What came meanwhile is done now."""
         self.hung = False
-        self.world.referee.excused(self.name)
+        self.world.referee.waive_answers(self.name)
         while self.held_back and self.alive:
             life, call, args = self.held_back.popleft()
             if life == self.life:
@@ -167,8 +167,8 @@
             first.lane.name,
             customer.key,
             customer.plan,
-            trying.ends - now,
-            first.guess,
+            trying.deadline - now,
+            first.estimated_units,
             customer.spread,
         )
 
@@ -192,7 +192,7 @@
         known = {} if whole else {one[0]: one for one in self.known}
         known.update((one[0], one) for one in entries)
         self.known = [one for one in known.values() if one[1] != "gone"]
-        self.world.referee.told(self.name, entries, whole, now)
+        self.world.referee.servers_listed(self.name, entries, whole, now)
         self.gateway.roster(now, [self.build.server(one) for one in entries], whole)
 
     def noted(self, peer: int, payload: bytes) -> None:
@@ -250,7 +250,7 @@
             if world.referee.was_answered(number):
                 world.referee.sent(self.name, Try(number, world.nobody, now, now), 0, server, now)
             return
-        until = min(taken.trying.ends, now + time_out) if time_out else taken.trying.ends
+        until = min(taken.trying.deadline, now + time_out) if time_out else taken.trying.deadline
         execution = Execution(taken, taken.sent, server, now, self.life)
         taken.sent += 1
         taken.out[execution.number] = execution
--- a/merlintally/lab/play/troubles.py
+++ b/merlintally/lab/play/troubles.py
@@ -74,7 +74,7 @@
 
 def restart(world: World, server: Server) -> None:
     """The process of a dead server comes back, cold. One that fell over stays down."""
-    if server.state == "dead" and not server.fell:
+    if server.state == "dead" and not server.failed_for_good:
         server.start(world.agenda.now)
         world.discovery.changed(server, "on")
 
@@ -93,7 +93,7 @@
     def leave() -> None:
         if server.state != "dead":
             server.die()
-        server.fell = True  # the machine is given back
+        server.failed_for_good = True  # the machine is given back
         world.discovery.changed(server, "gone", at_once=True)
 
     world.agenda.after(leaves_after, leave)
@@ -312,13 +312,13 @@
 @kind
 def discovery_late(world: World, trouble: Trouble) -> None:
     """Lists come `size` seconds later, and so out of order at the end."""
-    raised(world, trouble, [world.discovery], "extra")
+    raised(world, trouble, [world.discovery], "extra_delay_s")
 
 
 @kind
 def discovery_silent(world: World, trouble: Trouble) -> None:
-    world.discovery.silence()
-    world.agenda.after(trouble.lasts_s, world.discovery.back)
+    world.discovery.stop_updates()
+    world.agenda.after(trouble.lasts_s, world.discovery.resume_updates)
 
 
 @kind
@@ -353,7 +353,7 @@
 @kind
 def answers_late(world: World, trouble: Trouble) -> None:
     """A part of the servers answers `size` seconds later, without being busier."""
-    raised(world, trouble, some(world, trouble), "late")
+    raised(world, trouble, some(world, trouble), "extra_time_s")
 
 
 # Customers.
--- a/merlintally/lab/play/world.py
+++ b/merlintally/lab/play/world.py
@@ -8,7 +8,7 @@
 
 from merlintally.cluster import UNWELL
 from merlintally.lab.judge.referee import Referee
-from merlintally.lab.model.agenda import Agenda, chance
+from merlintally.lab.model.agenda import Agenda, random_stream
 from merlintally.lab.model.counter import Counter
 from merlintally.lab.model.days import Day
 from merlintally.lab.model.discovery import Discovery
@@ -46,10 +46,10 @@
         speeds = self.stream("servers")
         for _ in range(day.fleet.servers):
             server = self.new_server(0.0, speeds)
-            self.discovery.known(server)
+            self.discovery.add_initial(server)
 
     def stream(self, name: str) -> random.Random:
-        return chance(self.seed, name)
+        return random_stream(self.seed, name)
 
     @property
     def nobody(self) -> First:
--- a/merlintally/lab/tell/figures.py
+++ b/merlintally/lab/tell/figures.py
@@ -36,7 +36,7 @@
     offered = sum(one for one, _ in referee.by_plan.values()) or 1.0
     weights = goal.whole + goal.worst_window + goal.worst_plan or 1.0
     gross = (goal.whole * whole + goal.worst_window * worst + goal.worst_plan * plan) / weights
-    beyond = referee.cost / offered
+    beyond = referee.beyond_quota_cost / offered
     waste = goal.waste * max(0.0, referee.work_sent - referee.work_served) / max(referee.work_asked, 1e-9)
     counter = day.counter.price * counts["counter calls"] / firsts
     notes = day.notes.price * counts["note bytes"] / (256 * firsts)
@@ -81,12 +81,12 @@
     length = int(max(referee.by_second["offered"], default=0)) + 1
 
     def telling(key: str) -> tuple[float, float, str]:
-        book = referee.books[key]
-        return book.least, -sum(book.by_second.values()) / max(book.customer.rate, 1e-9), key
+        book = referee.usage_by_customer[key]
+        return book.lowest_ceiling_level, -sum(book.by_second.values()) / max(book.customer.rate, 1e-9), key
 
-    order = sorted(referee.books, key=telling)
-    under = [key for key in order if referee.books[key].ceiling is not None]
-    free = [key for key in order if referee.books[key].ceiling is None]
+    order = sorted(referee.usage_by_customer, key=telling)
+    under = [key for key in order if referee.usage_by_customer[key].ceiling is not None]
+    free = [key for key in order if referee.usage_by_customer[key].ceiling is None]
     half = max(most // 2, most - len(free))
     found = under[:half] + free[: most - len(under[:half])]
     return [
@@ -97,9 +97,9 @@
             "rate": book.customer.rate,
             "burst": book.customer.burst,
             "ceiling": book.customer.rate * book.customer.form.ceiling,
-            "least_of_ceiling": book.least,
+            "least_of_ceiling": book.lowest_ceiling_level,
             "use": [book.by_second.get(at, 0.0) for at in range(length)],
         }
         for key in found
-        for book in (referee.books[key],)
+        for book in (referee.usage_by_customer[key],)
     ]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,7 +16,7 @@
 from merlintally.forms import Faults
 from merlintally.lab.builds.loading import build
 from merlintally.lab.judge.account import Watch
-from merlintally.lab.model.agenda import Agenda, chance
+from merlintally.lab.model.agenda import Agenda, random_stream
 from merlintally.lab.model.counter import Counter as SharedCounter
 from merlintally.lab.model.days import CounterForm, Day, DiscoveryForm, Trouble, load_day, read_day, shipped
 from merlintally.lab.model.discovery import Discovery, Entry
@@ -49,7 +49,7 @@
     """One of 2 cores and 2 places, with room for 4."""
     fleet = structs.replace(SMALL.fleet, cores=2, places_per_core=1, waiting_per_core=2, thrash=0.0)
     day = structs.replace(SMALL, fleet=structs.replace(fleet, cancel=cancel, errors=0.0))
-    return Server("s0", day, 0, 0, 1.0, started, agenda, chance(1, "s"), Stamps())
+    return Server("s0", day, 0, 0, 1.0, started, agenda, random_stream(1, "s"), Stamps())
 
 
 def piece(ends: list[str], work: float = 1.0, lane: int = 0, key: str = "k", number: int = 1) -> Piece:
@@ -85,9 +85,9 @@
     # 2 cores at 0.3 of their speed, times 2.5, over 1.5 s: 2.25 core seconds, and two mean pieces of slack
     for _ in range(2):
         one.arrive(piece(ends, work=1.2))
-    assert not one.fell
+    assert not one.failed_for_good
     one.arrive(piece(ends, work=1.2))
-    assert one.fell and one.state == "dead" and ends == ["broken"] * 3
+    assert one.failed_for_good and one.state == "dead" and ends == ["broken"] * 3
 
 
 @pytest.mark.parametrize(("cancel", "waiting", "running"), [("none", 3, 2), ("waiting", 2, 2), ("all", 2, 1)])
@@ -153,10 +153,10 @@
 def test_discovery_is_late_silent_and_never_tells_what_is_older() -> None:
     agenda, heard = Agenda(100.0), list[tuple[list[Entry], bool]]()
     form = DiscoveryForm(notice_s=(1.0, 1.0), spread_s=(0.1, 0.1))
-    discovery = Discovery(form, agenda, chance(1, "d"))
+    discovery = Discovery(form, agenda, random_stream(1, "d"))
     one = server(agenda)
-    discovery.known(one)
-    discovery.listen("n0", lambda entries, whole: heard.append((entries, whole)))
+    discovery.add_initial(one)
+    discovery.subscribe("n0", lambda entries, whole: heard.append((entries, whole)))
     agenda.run(100.2)
     assert heard.pop() == ([("s0", "on", 0, 0, 0.0)], True)
     discovery.changed(one, "gone")
@@ -164,11 +164,11 @@
     discovery.changed(one, "on", at_once=True)
     agenda.run(103.0)
     assert heard == [([("s0", "on", 0, 0, 100.5)], False)]  # the old process's end came too late to be told
-    discovery.silence()
+    discovery.stop_updates()
     discovery.changed(one, "draining", at_once=True)
     agenda.run(105.0)
     assert len(heard) == 1
-    discovery.back()
+    discovery.resume_updates()
     agenda.run(106.0)
     assert heard[-1] == ([("s0", "draining", 0, 0, 100.5)], True)
 
@@ -180,7 +180,7 @@
         before = world.referee.asked
 
         def note(first: Any) -> None:
-            seen.append((first.customer.key, first.asked))
+            seen.append((first.customer.key, first.asked_at))
             before(first)
 
         world.referee.asked = note  # type: ignore[method-assign]
@@ -438,7 +438,7 @@
     try:
         drive(world)
     finally:
-        watch.off()
+        watch.restore()
     rows = watch.account.table()
     room = sum(row["tries"] for row in rows if row["kind"] == "with room")
     assert room == world.referee.counts["with room"]  # the account misses none
