--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -13,7 +13,10 @@
 from contextlib import suppress
 from functools import partial
 
-HOST, APP_PORTS, DISCOVERY_PORT, COUNTER_PORT = "127.0.0.1", (7001, 7002), 7500, 7400
+HOST = "127.0.0.1"
+APP_PORTS = (7001, 7002)
+DISCOVERY_PORT = 7500
+COUNTER_PORT = 7400
 WORK = 0.05  # seconds
 
 
--- a/merlintally/cli/scale.py
+++ b/merlintally/cli/scale.py
@@ -21,7 +21,8 @@
 from merlintally.lab.scale.tables import markdown
 from merlintally.operators import LabPart, read_operators
 
-FAILED, BROKEN = 1, 3  # exit codes
+FAILED = 1  # exit code
+BROKEN = 3  # exit code
 FILE = click.Path(dir_okay=False, path_type=Path)
 json_option = click.option("--json", "as_json", is_flag=True, help="Print for machines.")
 quick_option = click.option("--quick", is_flag=True, help="Fewer and smaller sizes: minutes in all.")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,7 +14,8 @@
 from merlintally.load.schedule import schedule
 from merlintally.load.sending import Sender, Tallies, loopback_only
 
-LOOK, ORDER = LaneLoad("look", 0.7, 1.0), LaneLoad("order", 0.3, 1.0, "stamped")
+LOOK = LaneLoad("look", 0.7, 1.0)
+ORDER = LaneLoad("order", 0.3, 1.0, "stamped")
 SMALL = Profile(
     lane=(LOOK, ORDER), customers=(CustomerLoad("plan", 5),), rate=60.0, seconds=1.0, connections=8
 )
