--- a/merlintally/__init__.py
+++ b/merlintally/__init__.py
@@ -1,1 +1,1 @@
-"""merlintally: a gateway that holds customers to their quotas before a shared back end."""
+"""merlintally: a gateway that enforces customers' quotas in front of a shared back end."""
--- a/merlintally/operators/__init__.py
+++ b/merlintally/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' file: what switches parts on and sets them, beside the deployment's own configuration."""
+"""The operators' file: enables and configures optional parts, beside the deployment's configuration."""
 
 from merlintally.operators.file import ClusterPart, LabPart, LogPart, Operators, read_operators
 
--- a/merlintally/structured.py
+++ b/merlintally/structured.py
@@ -1,4 +1,7 @@
-"""Structured log lines on structlog: logfmt or JSON. Loaded only where the operators' file asks for them."""
+"""Structured log lines, logfmt or JSON, rendered by structlog.
+
+Loaded only if the operators' file selects one of these formats.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,8 @@
 }
 
 
-class _Caught:
-    """A logger that keeps the line, for the log's own limit and stream."""
+class _LastLine:
+    """A logger that stores the rendered line; `Log` limits the rate and writes to the stream."""
 
     def __init__(self) -> None:
         self.line = ""
@@ -25,23 +28,24 @@
 
 
 class Structured:
-    """A style of `merlintally.net.log`: time, node, event, what it is about, and the text as `detail`."""
+    """A style of `merlintally.net.log`: timestamp, node, event, the event's fields, the text as `detail`."""
 
-    def __init__(self, form: str) -> None:
-        self.caught = _Caught()
+    def __init__(self, format_: str) -> None:
+        self.output = _LastLine()
         self.logger: Any = structlog.wrap_logger(
-            self.caught, processors=[TimeStamper(fmt="iso", utc=True, key="ts"), RENDERERS[form]]
+            self.output, processors=[TimeStamper(fmt="iso", utc=True, key="ts"), RENDERERS[format_]]
         )
 
     def line(self, name: str, event: str, text: str, fields: Mapping[str, object], left_out: int) -> str:
-        more: dict[str, object] = {
+        """Render one line; `left_out` is the number of lines dropped by the rate limit before it."""
+        values: dict[str, object] = {
             key: round(value, 6) if isinstance(value, float) else value
             for key, value in fields.items()
             if value is not None
         }
         if text:
-            more["detail"] = " ".join(text[:4000].split())
+            values["detail"] = " ".join(text[:4000].split())
         if left_out:
-            more["left_out"] = left_out
-        self.logger.info(event, node=name, **more)
-        return self.caught.line
+            values["left_out"] = left_out
+        self.logger.info(event, node=name, **values)
+        return self.output.line
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -51,7 +51,7 @@
 
 
 def test_a_part_that_is_no_table_and_a_list_item_are_named() -> None:
-    assert faults_of({"log": 3}) == ["log: is no table"]
+    assert faults_of({"log": 3}) == ["log: is not a table"]
     assert faults_of({"lane": [{"name": "x"}], "customers": [{"cuont": 1}]}, Profile) == [
         "customers.0.cuont: there is no such key (did you mean count?)",
         "customers.0.plan: is missing",
