--- a/merlintally/cli/checking.py
+++ b/merlintally/cli/checking.py
@@ -12,15 +12,15 @@
 import msgspec
 from click.shell_completion import get_completion_class
 
-from merlintally.cli.front import front, told
+from merlintally.cli.front import front, print_result
 from merlintally.forms import Faults, explain, load, nearest, read
 
-UNITS = {"_s": "seconds", "_share": "a part of 1"}
-KINDS = ("deployment", "operators", "day", "profile", "scenario")
+UNIT_BY_SUFFIX = {"_s": "seconds", "_share": "a fraction of 1"}
+FILE_KINDS = ("deployment", "operators", "day", "profile", "scenario")
 
 
-def form_of(kind: str) -> type[msgspec.Struct]:
-    """The struct behind a kind of TOML file."""
+def struct_of(kind: str) -> type[msgspec.Struct]:
+    """Return the struct that defines a kind of TOML file."""
     if kind == "day":
         from merlintally.lab.model.days import Day
 
@@ -39,7 +39,7 @@
 
 
 def kind_of(path: Path) -> str:
-    """JSON is a deployment's configuration; TOML is told by its sections."""
+    """Return the kind of a file: JSON is a deployment's configuration, TOML is identified by its sections."""
     if path.suffix == ".json":
         return "deployment"
     keys = set(load(path))
@@ -49,7 +49,7 @@
 
 
 def document_of(path: Path, kind: str) -> dict[str, Any]:
-    """The file's table; a day's with what it takes from another."""
+    """Return the file's table. A day that refers to another with `like` is merged with it."""
     if kind == "day":
         from merlintally.lab.model.days import load_day
 
@@ -58,64 +58,67 @@
 
 
 def check_deployment(path: Path) -> None:
+    """Validate a deployment's configuration. Raises Faults."""
     from merlintally.net.configuration import ConfigurationError, read_deployment
 
     environment = {key: value for key, value in os.environ.items() if key.startswith("LB_")}
     try:
         read_deployment({**environment, "LB_CONFIG": str(path)})
-    except ConfigurationError as wrong:
-        raise Faults([f"{path}: {wrong}"]) from None
+    except ConfigurationError as error:
+        raise Faults([f"{path}: {error}"]) from None
 
 
-def explained(kind: str) -> Iterator[tuple[str, str, str, str]]:
-    """Rows of key, type, default and meaning."""
+def explained_keys(kind: str) -> Iterator[tuple[str, str, str, str]]:
+    """Yield key, type, default and meaning of each key of a kind of file."""
     if kind != "deployment":
-        yield from explain(form_of(kind))
+        yield from explain(struct_of(kind))
         return
     from dataclasses import fields
 
     from merlintally.net.configuration import RESTART_KEYS, Bounds
 
-    for row, key in RESTART_KEYS.items():
-        yield key, "see docs/on-call.md", "", f"{row}: changes only with a restart"
+    for setting, key in RESTART_KEYS.items():
+        yield key, "see docs/on-call.md", "", f"{setting}: changes only with a restart"
     for field in fields(Bounds):
-        unit = next((unit for end, unit in UNITS.items() if field.name.endswith(end)), "")
+        unit = next((unit for suffix, unit in UNIT_BY_SUFFIX.items() if field.name.endswith(suffix)), "")
         yield f"node.{field.name}", type(field.default).__name__, repr(field.default), unit
 
 
 @click.command()
 @click.argument("file", required=False, type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--kind", type=click.Choice(KINDS), help="What FILE is; left out, found out.")
-@click.option("--explain", "explains", is_flag=True, help="Print the keys: type, default, meaning, unit.")
-@click.option("--json", "as_json", is_flag=True, help="Print for machines.")
+@click.option("--kind", type=click.Choice(FILE_KINDS), help="Kind of FILE; detected if omitted.")
+@click.option(
+    "--explain", "explains", is_flag=True, help="Print the keys with type, default, meaning and unit."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def check(file: Path | None, kind: str | None, explains: bool, as_json: bool) -> int:
-    """Check FILE and print each fault with its key; exit code 2 if there is one."""
+    """Validate FILE and print each error with its key; exit code 2 if there is one."""
     if explains:
-        rows = list(explained(kind or (kind_of(file) if file else "operators")))
-        names = ("key", "type", "default", "meaning")
-        told(
-            [dict(zip(names, row, strict=True)) for row in rows],
+        rows = list(explained_keys(kind or (kind_of(file) if file else "operators")))
+        columns = ("key", "type", "default", "meaning")
+        print_result(
+            [dict(zip(columns, row, strict=True)) for row in rows],
             as_json,
-            (f"{key:34} {form:14} {default:>12}  {meaning}" for key, form, default, meaning in rows),
+            (f"{key:34} {type_:14} {default:>12}  {meaning}" for key, type_, default, meaning in rows),
         )
         return 0
     if file is None:
-        raise click.UsageError("a FILE to check, or --explain")
+        raise click.UsageError("requires a FILE to check, or --explain")
     try:
-        found = kind or kind_of(file)
-        if found == "deployment":
+        detected = kind or kind_of(file)
+        if detected == "deployment":
             check_deployment(file)
         else:
-            read(document_of(file, found), form_of(found))
-    except Faults as wrong:
+            read(document_of(file, detected), struct_of(detected))
+    except Faults as error:
         if as_json:
-            click.echo(json.dumps({"file": str(file), "ok": False, "faults": wrong.lines}))
+            click.echo(json.dumps({"file": str(file), "ok": False, "faults": error.lines}))
             return 2
         raise
-    told(
-        {"file": str(file), "kind": found, "ok": True, "faults": []},
+    print_result(
+        {"file": str(file), "kind": detected, "ok": True, "faults": []},
         as_json,
-        [f"{file}: a good {found} file"],
+        [f"{file}: a valid {detected} file"],
     )
     return 0
 
@@ -124,7 +127,7 @@
 @click.argument("shell")
 def completion(shell: str) -> None:
     """Print the completion script for SHELL (bash, zsh or fish); source it from the shell's start file."""
-    kind = get_completion_class(shell)
-    if kind is None:
+    completion_class = get_completion_class(shell)
+    if completion_class is None:
         raise click.UsageError(f"no completion for {shell}{nearest(shell, ['bash', 'zsh', 'fish'])}")
-    click.echo(kind(front, {}, "merlintally", "_MERLINTALLY_COMPLETE").source())
+    click.echo(completion_class(front, {}, "merlintally", "_MERLINTALLY_COMPLETE").source())
--- a/merlintally/cli/cluster.py
+++ b/merlintally/cli/cluster.py
@@ -1,5 +1,5 @@
-"""`merlintally cluster`: found a cluster's folder, look at a node, change who votes, explain the stated
-times."""
+"""`merlintally cluster`: initialise a cluster's folder, show a node's state, change the voters, explain the
+guaranteed times."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import anyio
 import click
 
-from merlintally.cli.front import told
+from merlintally.cli.front import print_result
 from merlintally.forms import Faults
 from merlintally.operators import ClusterPart, read_operators
 
@@ -22,74 +22,77 @@
     envvar="LB_OPERATORS",
     show_envvar=True,
     required=True,
-    help="The operators' file of any node of the cluster; its section [cluster].",
+    help="Operators' file of any node of the cluster; its section [cluster] is used.",
 )
 node_option = click.option(
-    "--node", help="Ask this node, by name or ADDRESS:PORT; left out, any of the seeds."
+    "--node", help="Node to ask, by name or ADDRESS:PORT; if omitted, any of the seeds."
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="Print for machines.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 def cluster_part(operators: Path) -> ClusterPart:
-    """The section [cluster], or Faults that say it is missing."""
+    """Return the section [cluster]. Raises Faults if it is missing."""
     part = read_operators(operators).cluster
     if not part.name:
-        raise Faults([f"{operators}: cluster.name: is missing, so there is no cluster here"])
+        raise Faults([f"{operators}: cluster.name: is missing, so no cluster is configured"])
     return part
 
 
-def places(part: ClusterPart, node: str | None) -> list[str]:
-    """Addresses to ask, in their order."""
+def addresses_of(part: ClusterPart, node: str | None) -> list[str]:
+    """Return the addresses to ask, in order. Raises Faults if `node` is not among the seeds."""
     if node is not None and ":" in node:
         return [node]
     if node is not None:
         if node not in part.seeds:
             raise Faults([f"--node: {node} is not among the seeds {', '.join(sorted(part.seeds))}"])
         return [part.seeds[node]]
-    return [part.listen, *(where for where in part.seeds.values() if where != part.listen)]
+    return [part.listen, *(address for address in part.seeds.values() if address != part.listen)]
 
 
 def ask(part: ClusterPart, node: str | None, verb: str, args: list[Any], id_: str = "") -> tuple[bool, str]:
-    """Ask nodes in turn until one answers, always with the same id, so that it counts once. ClickException,
-    exit code 1, where none does."""
+    """Ask nodes in turn until one answers. Returns whether the request succeeded and its answer.
+
+    All attempts have the same id, so that the request is executed once. Raises ClickException (exit code 1)
+    if no node answers.
+    """
     from merlintally.cluster.links import Bad
     from merlintally.cluster.links import ask as ask_one
     from merlintally.net.configuration import parse_address
 
     id_ = id_ or f"cli:{secrets.token_hex(8)}"
-    said = ""
+    last_error = ""
     for _ in range(3):
-        for where in places(part, node):
+        for address in addresses_of(part, node):
             try:
                 ok, text = anyio.run(
-                    ask_one, parse_address(where, "node"), part.name, part.secret, id_, verb, args, 12.0
+                    ask_one, parse_address(address, "node"), part.name, part.secret, id_, verb, args, 12.0
                 )
-            except (OSError, TimeoutError, Bad, anyio.EndOfStream, anyio.BrokenResourceError) as wrong:
-                said = f"{where}: {wrong or 'no answer'}"
+            except (OSError, TimeoutError, Bad, anyio.EndOfStream, anyio.BrokenResourceError) as error:
+                last_error = f"{address}: {error or 'no answer'}"
                 continue
             if ok or "ask again" not in text:
                 return ok, text
-            said = text
-    raise click.ClickException(f"no node of cluster {part.name} could do it: {said}")
+            last_error = text
+    raise click.ClickException(f"no node of cluster {part.name} could execute the request: {last_error}")
 
 
 def refuse(text: str) -> None:
-    """Bad input that only the nodes could know: one line, exit code 2."""
+    """Report invalid input that a node has rejected: one line, exit code 2."""
     raise Faults([text])
 
 
 @click.group()
 def cluster() -> None:
-    """Many nodes as one: who votes, who leads, who is there."""
+    """Manage a cluster: voters, leader and members."""
 
 
 @cluster.command()
 @operators_option
 def init(operators: Path) -> None:
-    """Found a new cluster in this node's folder.
+    """Initialise a new cluster in this node's folder.
 
-    For each of the first voters, once, before its first start. A node without it waits until the others have
-    let it in: never found a folder anew for a voter that has lost its own.
+    Run it once for each initial voter, before its first start. A node whose folder is not initialised waits
+    until the others admit it: never initialise a folder again for a voter that has lost its own.
     """
     from merlintally.cluster.disk import Disk, Spoilt
 
@@ -98,11 +101,11 @@
         raise Faults([f"cluster.folder: {part.folder} holds a log already; nothing was changed"])
     try:
         disk = Disk(Path(part.folder))
-    except (OSError, Spoilt) as wrong:
-        raise Faults([f"cluster.folder: {wrong}"]) from None
+    except (OSError, Spoilt) as error:
+        raise Faults([f"cluster.folder: {error}"]) from None
     disk.admitted()
     disk.close()
-    click.echo(f"{part.folder}: founded for cluster {part.name}, voters {', '.join(part.voters)}")
+    click.echo(f"{part.folder}: initialised for cluster {part.name}, voters {', '.join(part.voters)}")
 
 
 @cluster.command()
@@ -110,21 +113,21 @@
 @node_option
 @json_option
 def status(operators: Path, node: str | None, as_json: bool) -> None:
-    """Who leads, who votes, who is there, as one node sees it."""
+    """Show leader, voters and members, as one node sees them."""
     _, text = ask(cluster_part(operators), node, "status", [])
-    found = json.loads(text)
+    answer = json.loads(text)
     states: dict[str, list[str]] = {}
-    for name, state in found["members"].items():
+    for name, state in answer["members"].items():
         states.setdefault(state, []).append(name)
-    told(
-        found,
+    print_result(
+        answer,
         as_json,
         [
-            f"asked {found['node']} (start {found['start']}): leader {found['leader'] or 'nobody'}, "
-            f"term {found['term']}, entry {found['index']} of {found['commit']}",
-            f"voters {', '.join(found['voters'])}"
-            + (f"; learning {', '.join(found['learners'])}" if found["learners"] else "")
-            + ("; this node has lost its log and does not vote yet" if found["blank"] else ""),
+            f"asked {answer['node']} (start {answer['start']}): leader {answer['leader'] or 'none'}, "
+            f"term {answer['term']}, entry {answer['index']} of {answer['commit']}",
+            f"voters {', '.join(answer['voters'])}"
+            + (f"; learning {', '.join(answer['learners'])}" if answer["learners"] else "")
+            + ("; this node has lost its log and does not vote yet" if answer["blank"] else ""),
             *(f"{state}: {', '.join(names)}" for state, names in sorted(states.items())),
         ],
     )
@@ -134,18 +137,18 @@
 @operators_option
 @json_option
 def explain(operators: Path, as_json: bool) -> None:
-    """The times that these settings promise, with their parts."""
+    """Show the times that these settings guarantee, with their terms."""
     from merlintally.cluster.bounds import bounds_of
 
     rows = bounds_of(cluster_part(operators))
-    told(
+    print_result(
         [row._asdict() for row in rows],
         as_json,
         (f"{row.name:28} {row.stated_s:8.2f} s  = {row.parts}" for row in rows),
     )
 
 
-def _vote(operators: Path, node: str, verb: str) -> None:
+def _change_voters(operators: Path, node: str, verb: str) -> None:
     ok, text = ask(cluster_part(operators), None, verb, [node])
     if not ok:
         refuse(text)
@@ -156,13 +159,13 @@
 @operators_option
 @click.argument("node")
 def add_voter(operators: Path, node: str) -> None:
-    """Have NODE vote: it learns all there is first."""
-    _vote(operators, node, "learn")
+    """Make NODE a voter, after it has received the whole log."""
+    _change_voters(operators, node, "learn")
 
 
 @cluster.command("remove-voter")
 @operators_option
 @click.argument("node")
 def remove_voter(operators: Path, node: str) -> None:
-    """Have NODE vote no more."""
-    _vote(operators, node, "unvote")
+    """Remove NODE from the voters."""
+    _change_voters(operators, node, "unvote")
--- a/merlintally/cli/copying.py
+++ b/merlintally/cli/copying.py
@@ -1,4 +1,4 @@
-"""`merlintally copies`: what nodes hold of the state that matters, and whether their copies are the same."""
+"""`merlintally copies`: shows, compares and exports the replicated state that nodes hold."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 import click
 
 from merlintally.cli.cluster import FILE, ask, cluster_part, json_option, node_option, operators_option
-from merlintally.cli.front import told
+from merlintally.cli.front import print_result
 from merlintally.forms import Faults
 
-DIFFER = 3  # exit code
+DIFFERENT = 3  # exit code
 
 
 @click.group()
 def copies() -> None:
-    """State that matters, in copies among the nodes: look at it, compare it, take it out."""
+    """Show, compare and export the replicated state of the nodes."""
 
 
-def copied(operators: Path, node: str | None, *what: str) -> dict[str, Any]:
-    """What one node says of its copies; Faults where it keeps none."""
-    found: dict[str, Any] = json.loads(ask(cluster_part(operators), node, "copies?", [*what])[1])
-    if not found["on"]:
-        raise Faults([f"cluster.copies: is 0 at {found['node']}, which keeps no copies"])
-    return found
+def query_copies(operators: Path, node: str | None, *query: str) -> dict[str, Any]:
+    """Ask a node about its copies. Raises Faults if it keeps none."""
+    answer: dict[str, Any] = json.loads(ask(cluster_part(operators), node, "copies?", [*query])[1])
+    if not answer["on"]:
+        raise Faults([f"cluster.copies: is 0 at {answer['node']}, which keeps no copies"])
+    return answer
 
 
 @copies.command()
@@ -33,18 +33,18 @@
 @node_option
 @json_option
 def status(operators: Path, node: str | None, as_json: bool) -> None:
-    """Whether a node has caught up, how much it holds, and what waits to go out."""
-    found = copied(operators, node, "status")
-    state = "caught up" if found["caught_up"] else "cold" if found["cold"] else "catching up"
-    told(
-        found,
+    """Show whether a node has caught up, what it holds and what it has yet to send."""
+    answer = query_copies(operators, node, "status")
+    state = "caught up" if answer["caught_up"] else "cold" if answer["cold"] else "catching up"
+    print_result(
+        answer,
         as_json,
         [
-            f"{found['node']} (start {found['start']}): {state}; {found['rows']} rows, "
-            f"{found['shards']} shards",
-            f"waiting to go out {found['unsent']}, unanswered {found['unanswered']}, "
-            f"shards that move away {found['leaving']}",
-            f"refused {found['refused']}, in quarantine {found['quarantined']}",
+            f"{answer['node']} (start {answer['start']}): {state}; {answer['rows']} rows, "
+            f"{answer['shards']} shards",
+            f"waiting to be sent {answer['unsent']}, unanswered {answer['unanswered']}, "
+            f"shards being handed over {answer['leaving']}",
+            f"refused {answer['refused']}, in quarantine {answer['quarantined']}",
         ],
     )
 
@@ -53,35 +53,36 @@
 @operators_option
 @json_option
 def compare(operators: Path, as_json: bool) -> int:
-    """Compare the digests of all seeds that answer; exit code 3 where two hold different copies of a shard.
+    """Compare the digests of all seeds that answer; exit code 3 if two hold different copies of a shard.
 
-    Copies differ for a moment after each change: what lasts is worth a look.
+    Copies differ briefly after each change; only a difference that persists is an error.
     """
     part = cluster_part(operators)
     held: dict[str, dict[str, list[str]]] = {}
-    silent = []
+    unreachable = []
     for name in sorted(part.seeds):
         try:
-            found = copied(operators, name, "digests")
+            answer = query_copies(operators, name, "digests")
         except click.ClickException:
-            silent.append(name)
+            unreachable.append(name)
             continue
-        for shard, digest in found["digests"].items():
+        for shard, digest in answer["digests"].items():
             held.setdefault(shard, {}).setdefault(digest, []).append(name)
     differ = {shard: rows for shard, rows in held.items() if len(rows) > 1}
-    told(
-        {"shards": len(held), "differ": differ, "silent": silent},
+    print_result(
+        {"shards": len(held), "differ": differ, "silent": unreachable},
         as_json,
         [
             f"{len(held)} shards held by those asked, {len(differ)} of them differ"
-            + (f"; no answer from {', '.join(silent)}" if silent else ""),
+            + (f"; no answer from {', '.join(unreachable)}" if unreachable else ""),
             *(
-                f"shard {shard}: " + "; ".join(f"{one} at {', '.join(names)}" for one, names in rows.items())
+                f"shard {shard}: "
+                + "; ".join(f"{variant} at {', '.join(names)}" for variant, names in rows.items())
                 for shard, rows in sorted(differ.items(), key=lambda row: int(row[0]))
             ),
         ],
     )
-    return DIFFER if differ else 0
+    return DIFFERENT if differ else 0
 
 
 @copies.command()
@@ -89,15 +90,15 @@
 @node_option
 @json_option
 def quarantine(operators: Path, node: str | None, as_json: bool) -> None:
-    """Copies of one version that differed: both, with where they came from. Nobody acts on them."""
-    found = copied(operators, node, "quarantine")
-    told(
-        found,
+    """Show rows of the same version that differed, with their origin. They are not used."""
+    answer = query_copies(operators, node, "quarantine")
+    print_result(
+        answer,
         as_json,
         [
             f"from {origin}: {kind} {key} of {owner}, start {start}, version {version}: "
-            + " ".join(f"{figure:g}" for figure in figures)
-            for origin, kind, key, owner, start, version, figures in found["quarantine"]
+            + " ".join(f"{value:g}" for value in values)
+            for origin, kind, key, owner, start, version, values in answer["quarantine"]
         ]
         or ["none"],
     )
@@ -108,12 +109,12 @@
 @node_option
 @click.argument("file", type=FILE)
 def export(operators: Path, node: str | None, file: Path) -> None:
-    """Write all rows that a node holds to FILE, one JSON array a line: kind, key, node, start, version,
-    figures."""
+    """Write all rows that a node holds to FILE, one JSON array per line: kind, key, node, start, version,
+    values."""
     count = 0
     with file.open("w", encoding="utf-8") as out:
-        for shard in copied(operators, node, "digests")["digests"]:
-            for row in copied(operators, node, "rows", shard)["rows"]:
+        for shard in query_copies(operators, node, "digests")["digests"]:
+            for row in query_copies(operators, node, "rows", shard)["rows"]:
                 out.write(json.dumps(row) + "\n")
                 count += 1
     click.echo(f"{file}: {count} rows")
--- a/merlintally/cli/scale.py
+++ b/merlintally/cli/scale.py
@@ -1,4 +1,4 @@
-"""`merlintally lab scale`: costs by size, fitted and held against the operators' budgets."""
+"""`merlintally lab scale`: measures costs at several sizes and checks their extrapolation against budgets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from merlintally.cli.front import told
+from merlintally.cli.front import print_result
 from merlintally.forms import Faults, nearest
 from merlintally.lab.scale.capacity import read_capacity
 from merlintally.lab.scale.runner import Failure, run
@@ -24,34 +24,35 @@
 FAILED = 1  # exit code
 BROKEN = 3  # exit code
 FILE = click.Path(dir_okay=False, path_type=Path)
-json_option = click.option("--json", "as_json", is_flag=True, help="Print for machines.")
-quick_option = click.option("--quick", is_flag=True, help="Fewer and smaller sizes: minutes in all.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+quick_option = click.option("--quick", is_flag=True, help="Fewer and smaller sizes; takes minutes in total.")
 whole_lists_option = click.option(
-    "--whole-lists", is_flag=True, help="Nodes without subsets: each works with all app servers."
+    "--whole-lists", is_flag=True, help="Turn subsets off: each node uses all app servers."
 )
 operators_option = click.option(
-    "--operators", type=FILE, envvar="LB_OPERATORS", help="The operators' file, for its section [lab]."
+    "--operators", type=FILE, envvar="LB_OPERATORS", help="Operators' file; its section [lab] is used."
 )
 
 
 @click.group()
 def scale() -> None:
-    """Scale tests: a cost at several sizes, its growth, and what it comes to at the operators' size."""
+    """Scale tests: measure a cost at several sizes, fit its growth, extrapolate it to the operators' size."""
 
 
 def results_folder(operators: Path | None) -> Path:
+    """Return the folder for results, from the operators' file or its default."""
     return Path((read_operators(operators).lab if operators is not None else LabPart()).results)
 
 
-def chosen(names: Iterable[str]) -> list[Slope | Derived]:
-    """The tests of these names (all, if there are none), in the order of the registry."""
+def select_tests(names: Iterable[str]) -> list[Slope | Derived]:
+    """Return the tests of these names (all if none are given) in the registry's order. Raises Faults."""
     tests = registry()
-    known = [one.name for one in tests]
+    known = [test.name for test in tests]
     for name in names:
         if name not in known:
             raise Faults([f"{name}: there is no such scale test{nearest(name, known)}"])
-    wanted = set(names) or set(known)
-    return [one for one in tests if one.name in wanted]
+    selected = set(names) or set(known)
+    return [test for test in tests if test.name in selected]
 
 
 @scale.command("list")
@@ -60,27 +61,27 @@
     """List the scale tests."""
     rows = [
         {
-            "name": one.name,
-            "role": one.role,
-            "by": one.by,
-            "unit": one.unit,
-            "sizes": list(one.sizes),
-            "derived": isinstance(one, Derived),
-            "simulated": isinstance(one, Slope) and one.simulated,
-            "about": one.about,
+            "name": test.name,
+            "role": test.role,
+            "by": test.by,
+            "unit": test.unit,
+            "sizes": list(test.sizes),
+            "derived": isinstance(test, Derived),
+            "simulated": isinstance(test, Slope) and test.simulated,
+            "about": test.about,
         }
-        for one in registry()
+        for test in registry()
     ]
-    told(rows, as_json, (f"{row['name']:36} by {row['by']:14} {row['about']}" for row in rows))
+    print_result(rows, as_json, (f"{row['name']:36} by {row['by']:14} {row['about']}" for row in rows))
 
 
 @scale.command("run")
 @click.argument("names", nargs=-1)
 @quick_option
 @click.option(
-    "--capacity", "capacity_file", type=FILE, help="Another size and budgets than deploy/capacity.toml."
+    "--capacity", "capacity_file", type=FILE, help="Size and budgets, instead of deploy/capacity.toml."
 )
-@click.option("--seed", type=int, default=1, show_default=True, help="Seed of all chance.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Random seed.")
 @whole_lists_option
 @operators_option
 @json_option
@@ -93,36 +94,38 @@
     operators: Path | None,
     as_json: bool,
 ) -> int:
-    """Run the scale tests NAMES, or all. Exit code 3 if a budget is broken, 1 if a test failed.
+    """Run the scale tests NAMES, or all. Exit code 3 if a budget is exceeded, 1 if a test failed.
 
-    Rows are added to scale.json (scale-quick.json) in the results folder as they come.
+    Each result is written to scale.json (scale-quick.json) in the results folder when its test ends.
     """
-    tests = chosen(names)
+    tests = select_tests(names)
     capacity = read_capacity(capacity_file)
     path = file_in(results_folder(operators), quick, whole_lists)
-    kept = kept_or_new(path, capacity, quick)
+    stored = kept_or_new(path, capacity, quick)
     rows: list[Row] = []
     failures: list[Failure] = []
     console = Console(stderr=True)
     context = Context(capacity, quick, seed, whole_lists)
-    for result in run(tests, context, kept.rows, lambda text: console.log(text)):
+    for result in run(tests, context, stored.rows, lambda text: console.log(text)):
         if isinstance(result, Failure):
             failures.append(result)
             continue
         rows.append(result)
-        kept = kept.with_row(result, datetime.date.today())
-        write_kept(path, kept)
-    show(rows, as_json)
+        stored = stored.with_row(result, datetime.date.today())
+        write_kept(path, stored)
+    print_rows(rows, as_json)
     for failure in failures:
         click.echo(f"merlintally: {failure.name}: {failure.why}", err=True)
-    return FAILED if failures else code_of(rows)
+    return FAILED if failures else exit_code_of(rows)
 
 
 @scale.command("report")
 @quick_option
 @whole_lists_option
-@click.option("--to", type=FILE, help="The page; else beside the results.")
-@click.option("--markdown", "as_markdown", is_flag=True, help="Print a Markdown table, and write no page.")
+@click.option("--to", type=FILE, help="Path of the page; by default beside the results.")
+@click.option(
+    "--markdown", "as_markdown", is_flag=True, help="Print a Markdown table instead of writing a page."
+)
 @operators_option
 @json_option
 def report(
@@ -133,46 +136,51 @@
     operators: Path | None,
     as_json: bool,
 ) -> int:
-    """Print the latest rows, worst first, and write one HTML page with plots about them."""
+    """Print the latest results, worst first, and write an HTML page with plots of them."""
     from merlintally.lab.scale.page import write_page
 
     folder = results_folder(operators)
     path = file_in(folder, quick, whole_lists)
-    kept = read_kept(path)
+    stored = read_kept(path)
     if as_markdown:
-        other = file_in(folder, quick, whole_lists=True)
-        without_subsets = read_kept(other) if other.exists() and not whole_lists else None
-        click.echo("\n".join(markdown(kept, without_subsets)))
-        return code_of(kept.rows.values())
-    show(list(kept.rows.values()), as_json)
+        whole_lists_path = file_in(folder, quick, whole_lists=True)
+        without_subsets = (
+            read_kept(whole_lists_path) if whole_lists_path.exists() and not whole_lists else None
+        )
+        click.echo("\n".join(markdown(stored, without_subsets)))
+        return exit_code_of(stored.rows.values())
+    print_rows(list(stored.rows.values()), as_json)
     page = to or path.with_suffix(".html")
-    write_page(page, kept)
+    write_page(page, stored)
     click.echo(str(page), err=True)
-    return code_of(kept.rows.values())
+    return exit_code_of(stored.rows.values())
 
 
-def code_of(rows: Iterable[Row]) -> int:
+def exit_code_of(rows: Iterable[Row]) -> int:
+    """Return the exit code: 3 if a budget is exceeded."""
     return BROKEN if any(row.holds is False for row in rows) else 0
 
 
-def show(rows: list[Row], as_json: bool) -> None:
+def print_rows(rows: list[Row], as_json: bool) -> None:
+    """Print rows as JSON or as a table."""
     if as_json:
-        told([msgspec.to_builtins(row) for row in rows], True, ())
+        print_result([msgspec.to_builtins(row) for row in rows], True, ())
     else:
         Console(width=None if Console().is_terminal else 150).print(table_of(rows))
 
 
 def verdict(row: Row) -> str:
+    """Return whether the budget holds; `-` if there is none."""
     return {None: "-", True: "holds", False: "broken"}[row.holds]
 
 
 def lists_of(row: Row) -> str:
-    """Whether nodes work with subsets of app servers, where lists are long."""
+    """Return whether nodes used the whole list of app servers or subsets of it."""
     return "whole" if row.whole_lists else "subsets"
 
 
 def table_of(rows: Iterable[Row]) -> Table:
-    """The rows, those worst for their budget first."""
+    """Return the rows as a table, those worst against their budget first."""
     table = Table()
     for name in ("test", "by", "grows", "error", "at size", "budget", "unit", "factor", "verdict", "lists"):
         table.add_column(
--- a/merlintally/cli/serving.py
+++ b/merlintally/cli/serving.py
@@ -1,4 +1,4 @@
-"""`merlintally serve`: one edge node, with the parts that an operators' file switches on."""
+"""`merlintally serve`: runs one edge node with the optional parts that an operators' file enables."""
 
 from __future__ import annotations
 
@@ -17,46 +17,54 @@
 
 
 def style_of(part: LogPart) -> Style:
+    """Return the log style of a format."""
     if part.format == "plain":
         return Plain()
-    from merlintally.structured import Structured  # structlog takes some MB: only where it is asked for
+    from merlintally.structured import Structured  # imported only if needed: structlog takes some MB
 
     return Structured(part.format)
 
 
 def set_log(log: Log, part: LogPart) -> None:
+    """Apply the section [log] to a log."""
     log.style, log.per_second, log.logs_steps = style_of(part), part.lines_per_s, part.submissions
-    if hasattr(log, "lines"):  # a recording log follows whether or not lines are wanted
+    if hasattr(log, "lines"):  # a RecordingLog records each step, also if steps are not logged
         log.lines, log.logs_steps = part.submissions, True
 
 
-def attach(first: Operators, deployment: Deployment, parts: list[NodeTask]) -> Log:
-    """The node's record, and its part in its cluster, loaded only where the operators' file has them."""
+def attach(operators: Operators, deployment: Deployment, parts: list[NodeTask]) -> Log:
+    """Open the node's record and add its cluster task to `parts`, as the operators' file configures them.
+
+    Returns the log that writes to the record. Raises Faults if the cluster's folder can't be used.
+    """
     from merlintally.cluster.record import Record, RecordingLog, starts_in
 
-    if not first.cluster.name:
-        log = RecordingLog(deployment.name, first.log.lines_per_s)
-        log.record = Record(first.record.file, deployment.name, starts_in(first.record.file) + 1)
+    if not operators.cluster.name:
+        log = RecordingLog(deployment.name, operators.log.lines_per_s)
+        log.record = Record(operators.record.file, deployment.name, starts_in(operators.record.file) + 1)
         log.record.add("start")
         return log
     from merlintally.cluster.disk import Spoilt
     from merlintally.cluster.node import ClusterNode, open_disk
 
     try:
-        disk = open_disk(first.cluster)
-    except Spoilt as wrong:
-        raise Faults([f"cluster.folder: {wrong}"]) from None
-    log = RecordingLog(deployment.name, first.log.lines_per_s)
-    if first.record.file:
-        log.record = Record(first.record.file, deployment.name, disk.start)
-    made: list[ClusterNode] = []  # once: a part that begins again is the same start of the same node
+        disk = open_disk(operators.cluster)
+    except Spoilt as error:
+        raise Faults([f"cluster.folder: {error}"]) from None
+    log = RecordingLog(deployment.name, operators.log.lines_per_s)
+    if operators.record.file:
+        log.record = Record(operators.record.file, deployment.name, disk.start)
+    # Created once: a restarted task continues as the same start of the node.
+    cluster_nodes: list[ClusterNode] = []
 
     async def run(node: EdgeNode, dispatcher: Dispatcher) -> None:
-        if not made:
-            made.append(
-                ClusterNode(first.cluster, node.deployment.name, node.deployment.seed, disk, log, log.record)
+        if not cluster_nodes:
+            cluster_nodes.append(
+                ClusterNode(
+                    operators.cluster, node.deployment.name, node.deployment.seed, disk, log, log.record
+                )
             )
-        await made[0].run(node, dispatcher)
+        await cluster_nodes[0].run(node, dispatcher)
 
     parts.append(run)
     return log
@@ -69,40 +77,42 @@
     envvar="LB_CONFIG",
     show_envvar=True,
     required=True,
-    help="The deployment's configuration, JSON.",
+    help="Configuration of the deployment, JSON.",
 )
 @click.option(
     "--operators",
     type=click.Path(dir_okay=False, path_type=Path),
     envvar="LB_OPERATORS",
     show_envvar=True,
-    help="The operators' file, TOML; without it the node runs lean.",
+    help="Operators' file, TOML; without it all optional parts are off.",
 )
 def serve(config: Path, operators: Path | None) -> int:
     """Run one edge node until SIGTERM or SIGINT.
 
-    SIGHUP has both files read again: a faulty one leaves the old in force. The log goes to standard error.
+    SIGHUP reloads both files; if one is invalid, its previous contents stay in force.
+
+    The log goes to standard error.
     """
     os.environ["LB_CONFIG"] = str(config)
     if operators is None:
         return run_node()
-    first, path = read_operators(operators), operators
+    initial, path = read_operators(operators), operators
 
-    def reread(log: Log) -> None:
+    def reload_operators(log: Log) -> None:
         try:
             set_log(log, read_operators(path).log)
-        except Faults as wrong:
-            log.say(f"{wrong}; the old operators' file stays in force", "operators.faulty")
+        except Faults as error:
+            log.say(f"{error}; the previous operators' file stays in force", "operators.faulty")
 
     parts: list[NodeTask] = []
 
     def make_log(deployment: Deployment) -> Log:
-        if first.cluster.name or first.record.file:
-            log = attach(first, deployment, parts)
+        if initial.cluster.name or initial.record.file:
+            log = attach(initial, deployment, parts)
         else:
-            log = Log(deployment.name, first.log.lines_per_s)
-        set_log(log, first.log)
-        log.on_reload = reread
+            log = Log(deployment.name, initial.log.lines_per_s)
+        set_log(log, initial.log)
+        log.on_reload = reload_operators
         return log
 
-    return run_node(make_log, parts, first.subsets.terms())
+    return run_node(make_log, parts, initial.subsets.terms())
--- a/merlintally/operators/file.py
+++ b/merlintally/operators/file.py
@@ -176,7 +176,7 @@
         Meta(
             ge=1,
             le=3600,
-            description="time after which a subset that may be smaller shrinks, seconds",
+            description="time for which a smaller subset must suffice before it shrinks, seconds",
         ),
     ] = USUAL.settle_s
     pressed_s: Annotated[
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -83,7 +83,7 @@
     for words, code, text in (
         (("check", str(bad)), 2, "log.format"),
         (("check", str(tmp_path / "none.toml")), 2, "can't be read"),
-        (("check", str(ROOT / "example" / "config.json")), 0, "a good deployment file"),
+        (("check", str(ROOT / "example" / "config.json")), 0, "a valid deployment file"),
         (("check", "--explain"), 0, "log.lines_per_s"),
         (("chekc",), 2, "No such command"),
         (("load", "10.1.2.3:80"), 2, "not a loopback address"),
