--- a/merlintally/cli/loading.py
+++ b/merlintally/cli/loading.py
@@ -16,7 +16,7 @@
 from merlintally.forms import Faults, read
 from merlintally.load.profile import Profile, read_profile
 from merlintally.load.schedule import schedule
-from merlintally.load.sending import Sender, loopback_only
+from merlintally.load.sending import Sender, require_loopback
 
 
 def address_of(text: str) -> tuple[str, int]:
@@ -70,7 +70,7 @@
     include the time a node is stalled. Exit code 1 if any submission got no complete answer.
     """
     host, port = address_of(address)
-    loopback_only(host, beyond_loopback)
+    require_loopback(host, beyond_loopback)
     effective = with_options(
         read_profile(profile), rate=rate, seconds=seconds, connections=connections, seed=seed
     )
--- a/merlintally/load/__init__.py
+++ b/merlintally/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: open-loop submissions to a node, with latencies counted from their scheduled times."""
+"""The load tool: sends open-loop load to a node and measures latencies from the scheduled times."""
--- a/merlintally/load/sending.py
+++ b/merlintally/load/sending.py
@@ -1,10 +1,10 @@
-"""Sends a schedule to a node over many connections, and keeps the latencies in HDR histograms."""
+"""Sends a schedule to a node over many connections and records latencies in HDR histograms."""
 
 from __future__ import annotations
 
 import ipaddress
 import time
-from collections import Counter as Tally
+from collections import Counter
 from collections.abc import Callable
 
 import anyio
@@ -16,50 +16,57 @@
 from merlintally.load.schedule import Planned, schedule
 from merlintally.net.resp import array
 
-HIGHEST_US = 3_600_000_000  # an hour, the longest latency that a histogram holds, microseconds
+MAX_LATENCY_US = 3_600_000_000  # upper bound of the histograms
 OUTCOMES = ("delivered", "bounced", "given up", "silent", "broken", "unsent")
-QUANTILES = (50.0, 90.0, 99.0, 99.9)
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class Tallies:
-    """Outcomes and latencies by lane. Latencies run from the scheduled time, in microseconds, to three
-    digits: what waited behind a stalled node counts as slow, whenever it was sent."""
+    """Outcomes and latencies by lane.
+
+    Latencies are measured from the scheduled time, so that they include the time a submission waits because
+    the node is stalled. Histograms hold microseconds with three significant digits.
+    """
 
     def __init__(self) -> None:
-        self.outcomes: dict[str, Tally[str]] = {}
+        self.outcomes: dict[str, Counter[str]] = {}
         self.latency: dict[tuple[str, str], HdrHistogram] = {}
-        self.service = HdrHistogram(1, HIGHEST_US, 3)  # from the moment of sending, for comparison
+        self.service = HdrHistogram(1, MAX_LATENCY_US, 3)  # measured from sending
         self.sent = self.late = 0
 
-    def add(self, lane: str, outcome: str, latency: float, service: float | None) -> None:
-        self.outcomes.setdefault(lane, Tally())[outcome] += 1
-        found = self.latency.get((lane, outcome))
-        if found is None:
-            found = self.latency[lane, outcome] = HdrHistogram(1, HIGHEST_US, 3)
-        found.record_value(min(HIGHEST_US, max(1, int(latency * 1e6))))
-        if service is not None:
-            self.service.record_value(min(HIGHEST_US, max(1, int(service * 1e6))))
+    def add(self, lane: str, outcome: str, latency_s: float, service_s: float | None) -> None:
+        """Record a submission: seconds from its scheduled time and, if it was sent, from sending."""
+        self.outcomes.setdefault(lane, Counter())[outcome] += 1
+        histogram = self.latency.get((lane, outcome))
+        if histogram is None:
+            histogram = self.latency[lane, outcome] = HdrHistogram(1, MAX_LATENCY_US, 3)
+        histogram.record_value(min(MAX_LATENCY_US, max(1, int(latency_s * 1e6))))
+        if service_s is not None:
+            self.service.record_value(min(MAX_LATENCY_US, max(1, int(service_s * 1e6))))
 
     def summary(self, seconds: float) -> dict[str, object]:
-        """By lane and outcome: count, and latencies in milliseconds."""
+        """Return counts and latencies (milliseconds) by lane and outcome, for a load of `seconds`."""
         lanes: dict[str, object] = {}
         for lane in sorted(self.outcomes):
             rows: dict[str, object] = {}
             for outcome in OUTCOMES:
                 if count := self.outcomes[lane][outcome]:
-                    found = self.latency[lane, outcome]
+                    histogram = self.latency[lane, outcome]
                     rows[outcome] = {
                         "count": count,
-                        "mean_ms": round(found.get_mean_value() / 1000, 3),
-                        "max_ms": round(found.get_max_value() / 1000, 3),
+                        "mean_ms": round(histogram.get_mean_value() / 1000, 3),
+                        "max_ms": round(histogram.get_max_value() / 1000, 3),
                         **{
-                            f"p{q:g}_ms": round(found.get_value_at_percentile(q) / 1000, 3) for q in QUANTILES
+                            f"p{percentile:g}_ms": round(
+                                histogram.get_value_at_percentile(percentile) / 1000, 3
+                            )
+                            for percentile in PERCENTILES
                         },
                     }
             lanes[lane] = rows
-        total: Tally[str] = Tally()
-        for one in self.outcomes.values():
-            total.update(one)
+        total: Counter[str] = Counter()
+        for counts in self.outcomes.values():
+            total.update(counts)
         return {
             "seconds": round(seconds, 3),
             "sent": self.sent,
@@ -71,51 +78,51 @@
         }
 
 
-def loopback_only(host: str, anywhere: bool) -> None:
-    """Refuse an address that is not this machine's, unless somebody said so."""
+def require_loopback(host: str, allow_remote: bool) -> None:
+    """Raise Faults if `host` is not a loopback address, unless `allow_remote` is set."""
     try:
-        here = ipaddress.ip_address(host).is_loopback
+        local = ipaddress.ip_address(host).is_loopback
     except ValueError:
-        here = host == "localhost"
-    if not here and not anywhere:
-        raise Faults(
-            [f"ADDRESS: {host} is not a loopback address; --beyond-loopback sends there all the same"]
-        )
+        local = host == "localhost"
+    if not local and not allow_remote:
+        raise Faults([f"ADDRESS: {host} is not a loopback address; use --beyond-loopback to allow it"])
+
 
+async def read_answer(stream: ByteStream, buffer: bytes) -> tuple[bytes, bytes]:
+    """Receive one RESP2 answer. Returns it and the bytes after it.
 
-async def read_answer(stream: ByteStream, held: bytes) -> tuple[bytes, bytes]:
-    """One whole RESP2 answer and what came behind it; EndOfStream where the connection ends first."""
+    `buffer` holds bytes already received. Raises EndOfStream if the connection closes first."""
     while True:
-        length = whole(held)
+        length = whole(buffer)
         if length is not None:
-            return held[:length], held[length:]
-        held += await stream.receive(65536)
+            return buffer[:length], buffer[length:]
+        buffer += await stream.receive(65536)
 
 
-def whole(held: bytes, at: int = 0) -> int | None:
-    """Where the answer that begins at `at` ends, or None while it is not all there.
+def whole(buffer: bytes, start: int = 0) -> int | None:
+    """Return the end of the answer that begins at `start`, or None if it is incomplete.
 
     >>> whole(b"+PONG\\r\\n"), whole(b"$3\\r\\nab"), whole(b"*2\\r\\n$1\\r\\na\\r\\n$-1\\r\\n")
     (7, None, 16)
     """
-    stop = held.find(b"\r\n", at)
-    if stop < 0:
+    line_end = buffer.find(b"\r\n", start)
+    if line_end < 0:
         return None
-    kind, rest, end = held[at : at + 1], held[at + 1 : stop], stop + 2
-    if kind == b"$" and int(rest) >= 0:
-        end += int(rest) + 2
-        return end if end <= len(held) else None
-    if kind == b"*":
-        for _ in range(max(0, int(rest))):
-            inner = whole(held, end)
-            if inner is None:
+    type_byte, length, end = buffer[start : start + 1], buffer[start + 1 : line_end], line_end + 2
+    if type_byte == b"$" and int(length) >= 0:
+        end += int(length) + 2
+        return end if end <= len(buffer) else None
+    if type_byte == b"*":
+        for _ in range(max(0, int(length))):
+            item_end = whole(buffer, end)
+            if item_end is None:
                 return None
-            end = inner
+            end = item_end
     return end
 
 
 def outcome_of(answer: bytes) -> str:
-    """What an answer means.
+    """Classify an answer.
 
     >>> outcome_of(b"-BUSY 20\\r\\n"), outcome_of(b"-ERR given up\\r\\n"), outcome_of(b"$1\\r\\nx\\r\\n")
     ('bounced', 'given up', 'delivered')
@@ -128,8 +135,10 @@
 
 
 class Sender:
-    """An open loop: each submission is due at its time, whatever became of those before. Where all
-    connections are busy it waits for one, and that wait counts into its latency."""
+    """Sends a load as an open loop: each submission is due at its scheduled time, whatever happens to others.
+
+    If all connections are busy, a submission waits for one, and the wait is part of its latency.
+    """
 
     def __init__(
         self,
@@ -139,13 +148,13 @@
         progress: Callable[[int], None] | None = None,
         told: Callable[[Planned, str, float | None], None] | None = None,
     ) -> None:
-        """`told` is called for each submission with its outcome and the seconds from sending, if it was."""
+        """`told` is called with each submission, its outcome and, if sent, the seconds from sending."""
         self.host, self.port, self.profile, self.progress = host, port, profile, progress
         self.told = told
         self.tallies = Tallies()
 
     async def ping(self) -> None:
-        """Whether a node answers there; Faults if not."""
+        """Raise Faults unless a node answers PING at the address."""
         try:
             with anyio.fail_after(3.0):
                 async with await anyio.connect_tcp(self.host, self.port) as stream:
@@ -155,69 +164,70 @@
             raise Faults([f"ADDRESS: no node answers at {self.host}:{self.port}"]) from None
         if answer != b"+PONG\r\n":
             raise Faults(
-                [f"ADDRESS: {self.host}:{self.port} answers PING with {answer[:40]!r}, so it is no node"]
+                [f"ADDRESS: {self.host}:{self.port} answers PING with {answer[:40]!r}, so it is not a node"]
             )
 
     async def run(self) -> Tallies:
-        """Send all; ends by itself at the latest when the last one's wait is over."""
+        """Send all submissions. Returns at the latest when the longest wait has passed after the last."""
         await self.ping()
-        most = max(one.wait_s for one in self.profile.lane)
-        put, get = anyio.create_memory_object_stream[Planned](1_000_000)
-        self.began = time.monotonic()
-        with anyio.move_on_after(self.profile.seconds + most + 5.0):
+        longest_wait_s = max(entry.wait_s for entry in self.profile.lane)
+        sender, receiver = anyio.create_memory_object_stream[Planned](1_000_000)
+        self.started_at = time.monotonic()
+        with anyio.move_on_after(self.profile.seconds + longest_wait_s + 5.0):
             async with anyio.create_task_group() as group:
                 for _ in range(self.profile.connections):
-                    group.start_soon(self._connection, get.clone())
-                get.close()
-                async with put:
+                    group.start_soon(self._connection, receiver.clone())
+                receiver.close()
+                async with sender:
                     for planned in schedule(self.profile):
-                        await anyio.sleep(max(0.0, self.began + planned.due - time.monotonic()))
-                        put.send_nowait(planned)
+                        await anyio.sleep(max(0.0, self.started_at + planned.due - time.monotonic()))
+                        sender.send_nowait(planned)
         return self.tallies
 
-    async def _connection(self, get: anyio.abc.ObjectReceiveStream[Planned]) -> None:
+    async def _connection(self, receiver: anyio.abc.ObjectReceiveStream[Planned]) -> None:
         stream: ByteStream | None = None
-        async with get:
-            async for planned in get:
-                stream = await self._one(planned, stream)
+        async with receiver:
+            async for planned in receiver:
+                stream = await self._send_one(planned, stream)
         if stream is not None:
             await stream.aclose()
 
-    async def _one(self, planned: Planned, stream: ByteStream | None) -> ByteStream | None:
-        """One submission; gives the connection if it can be used again."""
-        due = self.began + planned.due
-        sent: float | None = None
+    async def _send_one(self, planned: Planned, stream: ByteStream | None) -> ByteStream | None:
+        """Send one submission. Returns the connection if it can be reused."""
+        due = self.started_at + planned.due
+        sent_at: float | None = None
         try:
-            left = planned.wait - (time.monotonic() - due)
-            if left <= 0:
-                self._tell(planned, "unsent", None)  # its client would have gone before it could be sent
+            remaining_s = planned.wait - (time.monotonic() - due)
+            if remaining_s <= 0:
+                self._record(planned, "unsent", None)  # the client's timeout has passed already
                 return stream
-            with anyio.fail_after(left):
+            with anyio.fail_after(remaining_s):
                 if stream is None:
                     stream = await anyio.connect_tcp(self.host, self.port)
-                sent = time.monotonic()
-                self.tallies.late += sent - due > 0.01
+                sent_at = time.monotonic()
+                self.tallies.late += sent_at - due > 0.01
                 self.tallies.sent += 1
                 await stream.send(planned.command)
-                answer, rest = await read_answer(stream, b"")
+                answer, surplus = await read_answer(stream, b"")
         except TimeoutError:
-            self._tell(planned, "silent" if sent else "unsent", sent)
+            self._record(planned, "silent" if sent_at else "unsent", sent_at)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self._tell(planned, "broken", sent)
+            self._record(planned, "broken", sent_at)
         else:
-            self._tell(planned, outcome_of(answer), sent)
-            if not rest:
+            self._record(planned, outcome_of(answer), sent_at)
+            if not surplus:
                 return stream
         if stream is not None:
             with anyio.move_on_after(1.0, shield=True):
                 await stream.aclose()
         return None
 
-    def _tell(self, planned: Planned, outcome: str, sent: float | None) -> None:
+    def _record(self, planned: Planned, outcome: str, sent_at: float | None) -> None:
+        """Record the outcome of a submission and call the callbacks."""
         now = time.monotonic()
-        service = now - sent if sent else None
-        self.tallies.add(planned.lane, outcome, now - self.began - planned.due, service)
+        service_s = now - sent_at if sent_at else None
+        self.tallies.add(planned.lane, outcome, now - self.started_at - planned.due, service_s)
         if self.told is not None:
-            self.told(planned, outcome, service)
+            self.told(planned, outcome, service_s)
         if self.progress is not None:
             self.progress(1)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,7 +12,7 @@
 from merlintally.forms import Faults
 from merlintally.load.profile import CustomerLoad, LaneLoad, Profile, read_profile
 from merlintally.load.schedule import schedule
-from merlintally.load.sending import Sender, Tallies, loopback_only
+from merlintally.load.sending import Sender, Tallies, require_loopback
 
 LOOK = LaneLoad("look", 0.7, 1.0)
 ORDER = LaneLoad("order", 0.3, 1.0, "stamped")
@@ -109,10 +109,10 @@
 
 
 def test_what_is_not_a_node_or_not_here_is_refused() -> None:
-    with pytest.raises(Faults, match="so it is no node"):
+    with pytest.raises(Faults, match="so it is not a node"):
         send(SMALL, lambda heard: b"-ERR\r\n")
     with pytest.raises(Faults, match="not a loopback address"):
-        loopback_only("192.0.2.1", False)
-    loopback_only("192.0.2.1", True)
-    loopback_only("::1", False)
+        require_loopback("192.0.2.1", False)
+    require_loopback("192.0.2.1", True)
+    require_loopback("::1", False)
     assert read_profile(None).rate == 40.0
