--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The command line, files that people write, and the log's styles."""
+"""The command line, the reading of TOML files, and the log's styles."""
 
 from __future__ import annotations
 
@@ -31,39 +31,42 @@
 
 
 def run(*words: str, capsys: Capture, monkeypatch: Patch) -> tuple[int, str, str]:
-    """The exit code and what was printed."""
+    """Run the command line; returns the exit code, standard output and standard error."""
     monkeypatch.setattr(sys, "argv", ["merlintally", *words])
     code = main()
-    told_out = capsys.readouterr()
-    return code, told_out.out, told_out.err
+    captured = capsys.readouterr()
+    return code, captured.out, captured.err
 
 
-def faults_of(document: object, kind: type = Operators) -> list[str]:
-    with pytest.raises(Faults) as caught:
-        read(document, kind)
-    return caught.value.lines
+def errors_of(document: object, struct: type = Operators) -> list[str]:
+    with pytest.raises(Faults) as raised:
+        read(document, struct)
+    return raised.value.lines
 
 
-def test_every_fault_is_told_with_its_key() -> None:
-    lines = faults_of({"log": {"fromat": "json", "lines_per_s": "many"}, "lab": {"processes": 0}, "lgo": {}})
+def test_every_error_is_reported_with_its_key() -> None:
+    lines = errors_of({"log": {"fromat": "json", "lines_per_s": "many"}, "lab": {"processes": 0}, "lgo": {}})
     assert [line.split(":")[0] for line in lines] == ["log.fromat", "log.lines_per_s", "lab.processes", "lgo"]
     assert "did you mean format?" in lines[0] and "did you mean log?" in lines[3]
 
 
-def test_a_part_that_is_no_table_and_a_list_item_are_named() -> None:
-    assert faults_of({"log": 3}) == ["log: is not a table"]
-    assert faults_of({"lane": [{"name": "x"}], "customers": [{"cuont": 1}]}, Profile) == [
+def test_errors_in_sections_and_list_items_name_their_key() -> None:
+    assert errors_of({"log": 3}) == ["log: is not a table"]
+    assert errors_of({"lane": [{"name": "x"}], "customers": [{"cuont": 1}]}, Profile) == [
         "customers.0.cuont: there is no such key (did you mean count?)",
         "customers.0.plan: is missing",
     ]
 
 
-def test_faults_between_keys_are_told_by_path() -> None:
+def test_errors_between_keys_are_reported_by_path() -> None:
     calm = read_day("calm")
-    given = msgspec.to_builtins(calm)
-    given["lane"][0]["quoted_time_s"] = 99.0
-    given["trouble"] = [{"kind": "servers_slow", "at_s": 1.0}, {"kind": "zone_cut", "at_s": 1.0, "zone": 7}]
-    assert sorted(line.split(":")[0] for line in faults_of(given, Day)) == [
+    document = msgspec.to_builtins(calm)
+    document["lane"][0]["quoted_time_s"] = 99.0
+    document["trouble"] = [
+        {"kind": "servers_slow", "at_s": 1.0},
+        {"kind": "zone_cut", "at_s": 1.0, "zone": 7},
+    ]
+    assert sorted(line.split(":")[0] for line in errors_of(document, Day)) == [
         "lane.0.quoted_time_s",
         "trouble.0.part",
         "trouble.0.size",
@@ -73,15 +76,15 @@
 
 def test_the_shipped_operators_file_loads_and_all_keys_have_a_meaning() -> None:
     assert read_operators(ROOT / "deploy" / "operators.toml").log.format == "logfmt"
-    for kind in (Operators, Day, Profile):
-        assert all(meaning for _, _, _, meaning in explain(kind)), kind
+    for struct in (Operators, Day, Profile):
+        assert all(meaning for _, _, _, meaning in explain(struct)), struct
 
 
 def test_exit_codes(capsys: Capture, monkeypatch: Patch, tmp_path: Path) -> None:
-    bad = tmp_path / "bad.toml"
-    bad.write_text("[log]\nformat = 'xml'\n")
+    invalid = tmp_path / "bad.toml"
+    invalid.write_text("[log]\nformat = 'xml'\n")
     for words, code, text in (
-        (("check", str(bad)), 2, "log.format"),
+        (("check", str(invalid)), 2, "log.format"),
         (("check", str(tmp_path / "none.toml")), 2, "can't be read"),
         (("check", str(ROOT / "example" / "config.json")), 0, "a valid deployment file"),
         (("check", "--explain"), 0, "log.lines_per_s"),
@@ -92,33 +95,33 @@
         (("completion", "bash"), 0, "_MERLINTALLY_COMPLETE"),
         (("completion", "tcsh"), 2, "no completion for tcsh"),
     ):
-        found = run(*words, capsys=capsys, monkeypatch=monkeypatch)
-        assert found[0] == code and text in found[1] + found[2], (words, found)
+        result = run(*words, capsys=capsys, monkeypatch=monkeypatch)
+        assert result[0] == code and text in result[1] + result[2], (words, result)
 
 
-def test_each_command_has_its_help(capsys: Capture, monkeypatch: Patch) -> None:
+def test_each_command_has_help(capsys: Capture, monkeypatch: Patch) -> None:
     for name in front.list_commands(None):  # type: ignore[arg-type]
         code, out, _ = run(name, "--help", capsys=capsys, monkeypatch=monkeypatch)
         assert code == 0 and f"merlintally {name}" in out
 
 
-def test_a_check_for_machines(capsys: Capture, monkeypatch: Patch, tmp_path: Path) -> None:
-    bad = tmp_path / "bad.toml"
-    bad.write_text("lane = 1\n")
-    code, out, _ = run("check", "--json", str(bad), capsys=capsys, monkeypatch=monkeypatch)
+def test_check_prints_json(capsys: Capture, monkeypatch: Patch, tmp_path: Path) -> None:
+    invalid = tmp_path / "bad.toml"
+    invalid.write_text("lane = 1\n")
+    code, out, _ = run("check", "--json", str(invalid), capsys=capsys, monkeypatch=monkeypatch)
     assert code == 2 and json.loads(out)["ok"] is False and len(json.loads(out)["faults"]) == 2
 
 
-def test_a_structured_line_has_its_fields_and_tells_what_was_left_out() -> None:
-    for form, has in (("json", '"event": "loop.late"'), ("logfmt", "event=loop.late")):
+def test_a_structured_line_has_its_fields_and_the_count_of_dropped_lines() -> None:
+    for format_, expected in (("json", '"event": "loop.late"'), ("logfmt", "event=loop.late")):
         stream = io.StringIO()
-        log = Log("n0", 1.0, stream, Structured(form))
+        log = Log("n0", 1.0, stream, Structured(format_))
         log.say("the loop runs late", "loop.late", late_s=0.25)
         log.say("not said")
         log.tokens = 1.0
         log.say("two\nlines", "other")
         first, second = stream.getvalue().splitlines()
-        assert has in first and "0.25" in first and "n0" in first
+        assert expected in first and "0.25" in first and "n0" in first
         assert "two lines" in second and "left_out" in second
 
 
@@ -129,8 +132,8 @@
     assert "told all the same" in stream.getvalue()
 
 
-def test_an_id_can_be_followed_from_taking_to_answer() -> None:
-    server = Standin(lambda heard: b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+def test_a_submission_can_be_traced_by_its_id() -> None:
+    server = Standin(lambda received: b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 
     async def act(scene: Scene) -> None:
         scene.node.log.style, scene.node.log.logs_steps = Structured("json"), True
@@ -156,25 +159,27 @@
     )
 
 
-def test_the_lean_node_loads_nothing_that_is_not_switched_on() -> None:
+def test_a_node_without_an_operators_file_imports_no_optional_module() -> None:
     text = (
         "import sys, merlintally.net.node\n"
         "print([name for name in ('click', 'msgspec', 'structlog', 'numpy', 'rich', 'hdrh',"
         " 'merlintally.lab', 'merlintally.cli', 'merlintally.operators') if name in sys.modules])"
     )
-    done = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, cwd=ROOT, check=True)
-    assert done.stdout.strip() == "[]"
+    completed = subprocess.run(
+        [sys.executable, "-c", text], capture_output=True, text=True, cwd=ROOT, check=True
+    )
+    assert completed.stdout.strip() == "[]"
 
 
-def test_a_served_node_takes_up_its_operators_file_and_keeps_the_old_one_where_the_new_is_faulty(
+def test_a_node_reloads_its_operators_file_and_keeps_the_old_one_if_the_new_is_invalid(
     tmp_path: Path,
 ) -> None:
-    given = json.loads((ROOT / "example" / "config.json").read_text())
+    deployment = json.loads((ROOT / "example" / "config.json").read_text())
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
-        given["listen"] = f"127.0.0.1:{sock.getsockname()[1]}"
+        deployment["listen"] = f"127.0.0.1:{sock.getsockname()[1]}"
     config, operators = tmp_path / "config.json", tmp_path / "operators.toml"
-    config.write_text(json.dumps(given))
+    config.write_text(json.dumps(deployment))
     operators.write_text("[log]\nformat = 'json'\n")
     words = ["serve", "--config", str(config), "--operators", str(operators)]
     with subprocess.Popen(
@@ -182,7 +187,7 @@
     ) as node:
         try:
             assert node.stderr is not None
-            # nothing stands where discovery should be: it says so, as JSON
+            # Discovery is unreachable, which is logged as JSON.
             assert json.loads(node.stderr.readline())["event"] == "discovery.broken"
             operators.write_text("[log]\nformat = 'xml'\n")
             node.send_signal(signal.SIGHUP)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what may fail, and nothing else."""
+"""KNOWN-RED.txt: only the listed tests may fail."""
 
 from pathlib import Path
 
@@ -7,30 +7,30 @@
 TESTS = "def test_red(): assert False\ndef test_green(): pass\n"
 
 
-def played(pytester: pytest.Pytester, listed: str) -> pytest.RunResult:
+def run_tests(pytester: pytest.Pytester, listed: str) -> pytest.RunResult:
     pytester.makeconftest((Path(__file__).parent / "conftest.py").read_text())
     pytester.makepyfile(test_it=TESTS)
     (pytester.path / "KNOWN-RED.txt").write_text(listed)
     return pytester.runpytest_inprocess()
 
 
-def test_just_what_is_listed_may_fail_and_is_printed(pytester: pytest.Pytester) -> None:
-    result = played(pytester, "test_it.py::test_red | late by a second | 34\n")
+def test_a_listed_failure_is_expected_and_printed(pytester: pytest.Pytester) -> None:
+    result = run_tests(pytester, "test_it.py::test_red | late by a second | 34\n")
     result.assert_outcomes(xfailed=1, passed=1)
     result.stdout.fnmatch_lines(["known to fail: test_it.py::test_red: late by a second (issue 34)"])
 
 
-def test_what_is_not_listed_fails(pytester: pytest.Pytester) -> None:
-    played(pytester, "").assert_outcomes(failed=1, passed=1)
+def test_an_unlisted_failure_fails(pytester: pytest.Pytester) -> None:
+    run_tests(pytester, "").assert_outcomes(failed=1, passed=1)
 
 
-def test_one_that_passes_again_is_an_error_until_its_line_goes(pytester: pytest.Pytester) -> None:
+def test_a_listed_test_that_passes_is_an_error(pytester: pytest.Pytester) -> None:
     listed = "test_it.py::test_red | late | 34\ntest_it.py::test_green | late | 34\n"
-    played(pytester, listed).assert_outcomes(xfailed=1, failed=1)
+    run_tests(pytester, listed).assert_outcomes(xfailed=1, failed=1)
 
 
 @pytest.mark.parametrize(
-    "listed, said",
+    "listed, message",
     [
         ("test_it.py::test_red late 34\n", "line 1 is not of the form"),
         ("test_it.py::test_other | late | 34\n", "there is no test test_it.py::test_other"),
@@ -38,7 +38,7 @@
     ],
     ids=["form", "no such test", "too many"],
 )
-def test_a_list_that_can_not_be_is_refused(pytester: pytest.Pytester, listed: str, said: str) -> None:
-    result = played(pytester, listed)
+def test_an_invalid_list_is_rejected(pytester: pytest.Pytester, listed: str, message: str) -> None:
+    result = run_tests(pytester, listed)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
-    result.stderr.fnmatch_lines([f"*{said}*"])
+    result.stderr.fnmatch_lines([f"*{message}*"])
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: its schedule, its open loop, and that it ends by itself."""
+"""The load tool: schedule, open loop, latencies and termination."""
 
 from __future__ import annotations
 
@@ -21,83 +21,83 @@
 )
 
 
-class Stalls:
-    """A node that says nothing for a while and then answers all that came, one answer a command."""
+class StalledNode:
+    """A node that does not answer for a time and then answers each command received."""
 
     def __init__(self, seconds: float, answer: bytes = b"$2\r\nok\r\n") -> None:
         self.until, self.answer = time.monotonic() + seconds, answer
 
-    def say(self, heard: bytes) -> bytes | None:
-        if heard.startswith(b"*1"):
+    def answer_to(self, received: bytes) -> bytes | None:
+        if received.startswith(b"*1"):
             return b"+PONG\r\n"
         if time.monotonic() < self.until:
-            time.sleep(max(0.0, self.until - time.monotonic()))  # the whole node stands still
-        return self.answer * heard.count(b"Q.")
+            time.sleep(max(0.0, self.until - time.monotonic()))  # blocks the whole node
+        return self.answer * received.count(b"Q.")
 
 
-def send(profile: Profile, say: Callable[[bytes], bytes | None]) -> tuple[Tallies, float]:
-    """What came of a load at a stand-in, and how long it took."""
-    node = Standin(say)
+def send(profile: Profile, answer_to: Callable[[bytes], bytes | None]) -> tuple[Tallies, float]:
+    """Send a load to a stand-in node; returns the tallies and the time taken, seconds."""
+    node = Standin(answer_to)
 
-    async def scene() -> Tallies | Faults:
-        found: Tallies | Faults
+    async def send_load() -> Tallies | Faults:
+        result: Tallies | Faults
         async with anyio.create_task_group() as group:
             group.start_soon(node.run)
             try:
-                found = await Sender(*node.address, profile).run()
-            except Faults as wrong:
-                found = wrong
+                result = await Sender(*node.address, profile).run()
+            except Faults as error:
+                result = error
             group.cancel_scope.cancel()
-        return found
+        return result
 
-    began = time.monotonic()
-    found = anyio.run(scene)
+    started_at = time.monotonic()
+    outcome = anyio.run(send_load)
     node.sock.close()
-    if isinstance(found, Faults):
-        raise found
-    return found, time.monotonic() - began
+    if isinstance(outcome, Faults):
+        raise outcome
+    return outcome, time.monotonic() - started_at
 
 
 def test_the_schedule_is_the_same_for_the_same_seed_and_follows_the_profile() -> None:
     first, second = list(schedule(SMALL)), list(schedule(SMALL))
-    assert first == second and 30 < len(first) < 100 and all(0 < one.due < 1.0 for one in first)
-    commands = {one.lane: one.command for one in first}
+    assert first == second and 30 < len(first) < 100 and all(0 < planned.due < 1.0 for planned in first)
+    commands = {planned.lane: planned.command for planned in first}
     assert b"Q.ASK" in commands["look"] and b"Q.DO" in commands["order"] and b",k=" in commands["order"]
-    assert len({one.command.split(b"\r\n")[6] for one in first}) == len(first)  # ids of their own
+    assert len({planned.command.split(b"\r\n")[6] for planned in first}) == len(first)  # unique ids
 
 
-def test_latencies_count_from_the_schedule_so_that_a_stall_can_not_hide() -> None:
-    tallies, _ = send(SMALL, Stalls(0.8).say)
+def test_latencies_are_measured_from_the_schedule_and_include_a_stall() -> None:
+    tallies, _ = send(SMALL, StalledNode(0.8).answer_to)
     summary = tallies.summary(1.0)
     assert summary["outcomes"] == {"delivered": len(list(schedule(SMALL)))}
-    found = [one for (_, outcome), one in tallies.latency.items() if outcome == "delivered"]
-    # a closed loop would show eight slow ones; here all that were due in the stall are slow
-    assert max(one.get_value_at_percentile(50) for one in found) > 100_000
+    histograms = [histogram for (_, outcome), histogram in tallies.latency.items() if outcome == "delivered"]
+    # A closed loop would show eight slow submissions; here all that were due during the stall are slow.
+    assert max(histogram.get_value_at_percentile(50) for histogram in histograms) > 100_000
     assert tallies.service.get_value_at_percentile(50) < 100_000
 
 
-def test_a_node_that_never_answers_does_not_hold_the_tool() -> None:
+def test_a_load_ends_if_the_node_never_answers() -> None:
     profile = Profile(
         lane=(LaneLoad("look", 1.0, 0.3),), customers=SMALL.customers, rate=40.0, seconds=0.5, connections=4
     )
-    tallies, took = send(profile, lambda heard: b"+PONG\r\n" if heard.startswith(b"*1") else b"")
-    assert took < 3.0 and set(tallies.outcomes["look"]) <= {"silent", "unsent"}
+    tallies, elapsed_s = send(profile, lambda received: b"+PONG\r\n" if received.startswith(b"*1") else b"")
+    assert elapsed_s < 3.0 and set(tallies.outcomes["look"]) <= {"silent", "unsent"}
     assert sum(tallies.outcomes["look"].values()) == len(list(schedule(profile)))
 
 
-def test_outcomes_are_told_apart() -> None:
+def test_answers_are_classified() -> None:
     for answer, outcome in (
         (b"-BUSY 5\r\n", "bounced"),
         (b"-ERR given up\r\n", "given up"),
         (b"$-1\r\n", "given up"),
         (b"*1\r\n$1\r\nx\r\n", "delivered"),
     ):
-        tallies, _ = send(SMALL, Stalls(0.0, answer).say)
+        tallies, _ = send(SMALL, StalledNode(0.0, answer).answer_to)
         assert list(tallies.summary(1.0)["outcomes"]) == [outcome]  # type: ignore[call-overload]
 
 
-def test_a_load_at_a_real_node() -> None:
-    server = Standin(lambda heard: b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+def test_a_load_on_a_real_node() -> None:
+    server = Standin(lambda received: b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 
     async def act(scene: Scene) -> None:
         tallies = await Sender(*scene.node.address, SMALL).run()
@@ -108,9 +108,9 @@
     play(told(known=known(server)), act, server)
 
 
-def test_what_is_not_a_node_or_not_here_is_refused() -> None:
+def test_an_address_that_is_remote_or_not_a_node_is_rejected() -> None:
     with pytest.raises(Faults, match="so it is not a node"):
-        send(SMALL, lambda heard: b"-ERR\r\n")
+        send(SMALL, lambda received: b"-ERR\r\n")
     with pytest.raises(Faults, match="not a loopback address"):
         require_loopback("192.0.2.1", False)
     require_loopback("192.0.2.1", True)
