--- a/merlintally/cli/checking.py
+++ b/merlintally/cli/checking.py
@@ -13,7 +13,7 @@
 from click.shell_completion import get_completion_class
 
 from merlintally.cli.front import front, print_result
-from merlintally.forms import Faults, explain, load, nearest, read
+from merlintally.forms import InputError, explain, load, read, suggestion
 
 UNIT_BY_SUFFIX = {"_s": "seconds", "_share": "a fraction of 1"}
 FILE_KINDS = ("deployment", "operators", "day", "profile", "scenario")
@@ -58,14 +58,14 @@
 
 
 def check_deployment(path: Path) -> None:
-    """Validate a deployment's configuration. Raises Faults."""
+    """Validate a deployment's configuration. Raises InputError."""
     from merlintally.net.configuration import ConfigurationError, read_deployment
 
     environment = {key: value for key, value in os.environ.items() if key.startswith("LB_")}
     try:
         read_deployment({**environment, "LB_CONFIG": str(path)})
     except ConfigurationError as error:
-        raise Faults([f"{path}: {error}"]) from None
+        raise InputError([f"{path}: {error}"]) from None
 
 
 def explained_keys(kind: str) -> Iterator[tuple[str, str, str, str]]:
@@ -110,7 +110,7 @@
             check_deployment(file)
         else:
             read(document_of(file, detected), struct_of(detected))
-    except Faults as error:
+    except InputError as error:
         if as_json:
             click.echo(json.dumps({"file": str(file), "ok": False, "faults": error.lines}))
             return 2
@@ -129,5 +129,5 @@
     """Print the completion script for SHELL (bash, zsh or fish); source it from the shell's start file."""
     completion_class = get_completion_class(shell)
     if completion_class is None:
-        raise click.UsageError(f"no completion for {shell}{nearest(shell, ['bash', 'zsh', 'fish'])}")
+        raise click.UsageError(f"no completion for {shell}{suggestion(shell, ['bash', 'zsh', 'fish'])}")
     click.echo(completion_class(front, {}, "merlintally", "_MERLINTALLY_COMPLETE").source())
--- a/merlintally/cli/cluster.py
+++ b/merlintally/cli/cluster.py
@@ -12,7 +12,7 @@
 import click
 
 from merlintally.cli.front import print_result
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.operators import ClusterPart, read_operators
 
 FILE = click.Path(dir_okay=False, path_type=Path)
@@ -31,20 +31,20 @@
 
 
 def cluster_part(operators: Path) -> ClusterPart:
-    """Return the section [cluster]. Raises Faults if it is missing."""
+    """Return the section [cluster]. Raises InputError if it is missing."""
     part = read_operators(operators).cluster
     if not part.name:
-        raise Faults([f"{operators}: cluster.name: is missing, so no cluster is configured"])
+        raise InputError([f"{operators}: cluster.name: is missing, so no cluster is configured"])
     return part
 
 
 def addresses_of(part: ClusterPart, node: str | None) -> list[str]:
-    """Return the addresses to ask, in order. Raises Faults if `node` is not among the seeds."""
+    """Return the addresses to ask, in order. Raises InputError if `node` is not among the seeds."""
     if node is not None and ":" in node:
         return [node]
     if node is not None:
         if node not in part.seeds:
-            raise Faults([f"--node: {node} is not among the seeds {', '.join(sorted(part.seeds))}"])
+            raise InputError([f"--node: {node} is not among the seeds {', '.join(sorted(part.seeds))}"])
         return [part.seeds[node]]
     return [part.listen, *(address for address in part.seeds.values() if address != part.listen)]
 
@@ -78,7 +78,7 @@
 
 def refuse(text: str) -> None:
     """Report invalid input that a node has rejected: one line, exit code 2."""
-    raise Faults([text])
+    raise InputError([text])
 
 
 @click.group()
@@ -98,11 +98,11 @@
 
     part = cluster_part(operators)
     if (Path(part.folder) / "agreement.log").exists():
-        raise Faults([f"cluster.folder: {part.folder} holds a log already; nothing was changed"])
+        raise InputError([f"cluster.folder: {part.folder} holds a log already; nothing was changed"])
     try:
         disk = Disk(Path(part.folder))
     except (OSError, Spoilt) as error:
-        raise Faults([f"cluster.folder: {error}"]) from None
+        raise InputError([f"cluster.folder: {error}"]) from None
     disk.admitted()
     disk.close()
     click.echo(f"{part.folder}: initialised for cluster {part.name}, voters {', '.join(part.voters)}")
--- a/merlintally/cli/copying.py
+++ b/merlintally/cli/copying.py
@@ -10,7 +10,7 @@
 
 from merlintally.cli.cluster import FILE, ask, cluster_part, json_option, node_option, operators_option
 from merlintally.cli.front import print_result
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 
 DIFFERENT = 3  # exit code
 
@@ -21,10 +21,10 @@
 
 
 def query_copies(operators: Path, node: str | None, *query: str) -> dict[str, Any]:
-    """Ask a node about its copies. Raises Faults if it keeps none."""
+    """Ask a node about its copies. Raises InputError if it keeps none."""
     answer: dict[str, Any] = json.loads(ask(cluster_part(operators), node, "copies?", [*query])[1])
     if not answer["on"]:
-        raise Faults([f"cluster.copies: is 0 at {answer['node']}, which keeps no copies"])
+        raise InputError([f"cluster.copies: is 0 at {answer['node']}, which keeps no copies"])
     return answer
 
 
--- a/merlintally/cli/faults.py
+++ b/merlintally/cli/faults.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from merlintally.cli.front import print_result
-from merlintally.forms import Faults, nearest
+from merlintally.forms import InputError, suggestion
 
 BROKEN = 3  # exit code
 FOLDER = click.Path(file_okay=False, path_type=Path)
@@ -67,7 +67,7 @@
     if processes is not None:
         config = msgspec.structs.replace(config, processes=processes, servers=processes)
         if errors := config.faults():
-            raise Faults([f"--processes: {key}: {text}" for key, text in errors])
+            raise InputError([f"--processes: {key}: {text}" for key, text in errors])
     if seconds is not None:
         config = msgspec.structs.replace(config, seconds=seconds)
     interrupted()
@@ -176,8 +176,8 @@
     Exit code 3 if a guarantee was violated."""
     known = mistakes_of(core)
     if mistake is not None and mistake not in known:
-        raise Faults(
-            [f"--mistake: there is no {mistake!r}{nearest(mistake, list(known))}: {', '.join(known)}"]
+        raise InputError(
+            [f"--mistake: there is no {mistake!r}{suggestion(mistake, list(known))}: {', '.join(known)}"]
         )
     with ProcessPoolExecutor(processes) as pool:
         if all_mistakes:
--- a/merlintally/cli/front.py
+++ b/merlintally/cli/front.py
@@ -12,7 +12,7 @@
 
 import click
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 
 EXIT_CODES = """\b
 Exit codes:
@@ -91,7 +91,7 @@
     try:
         result = front.main(standalone_mode=False, prog_name="merlintally")
         return result if isinstance(result, int) else 0
-    except Faults as error:
+    except InputError as error:
         for line in error.lines:
             click.echo(f"merlintally: {line}", err=True)
         return 2
--- a/merlintally/cli/lab.py
+++ b/merlintally/cli/lab.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from merlintally.cli.front import LazyGroup, print_result
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.builds.baselines import BASELINES
 from merlintally.lab.model.days import read_day, shipped
 from merlintally.lab.play.simulation import play
@@ -331,7 +331,7 @@
     paths = files or (Path(lab_part(operators).results) / "latest.jsonl",)
     loaded = [result for path in paths for result in ResultsFile(path).read()]
     if not loaded:
-        raise Faults([f"{paths[0]}: no results in this file; `merlintally lab play calm` creates some"])
+        raise InputError([f"{paths[0]}: no results in this file; `merlintally lab play calm` creates some"])
     page = to or paths[0].with_suffix(".html")
     write(page, loaded, (row.sentence() for row in compare(loaded, *pair)) if pair else ())
     click.echo(str(page))
@@ -361,7 +361,7 @@
 
     scenario = read_day(day).at_size(gateways, seconds)
     if build_name in BASELINES:
-        raise Faults([f"{build_name}: only the module and its revisions can be analysed"])
+        raise InputError([f"{build_name}: only the module and its revisions can be analysed"])
     decisions = build(build_name)
     world = simulated(scenario, seed, decisions, Record())
     watch = Watch(world, decisions)
--- a/merlintally/cli/loading.py
+++ b/merlintally/cli/loading.py
@@ -13,17 +13,17 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from merlintally.forms import Faults, read
+from merlintally.forms import InputError, read
 from merlintally.load.profile import Profile, read_profile
 from merlintally.load.schedule import schedule
 from merlintally.load.sending import Sender, require_loopback
 
 
 def address_of(text: str) -> tuple[str, int]:
-    """Parse HOST:PORT. Raises Faults."""
+    """Parse HOST:PORT. Raises InputError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise Faults([f"ADDRESS: {text!r} is not HOST:PORT"])
+        raise InputError([f"ADDRESS: {text!r} is not HOST:PORT"])
     return host, int(port)
 
 
--- a/merlintally/cli/scale.py
+++ b/merlintally/cli/scale.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from merlintally.cli.front import print_result
-from merlintally.forms import Faults, nearest
+from merlintally.forms import InputError, suggestion
 from merlintally.lab.scale.capacity import read_capacity
 from merlintally.lab.scale.runner import Failure, run
 from merlintally.lab.scale.slope import Context, Derived, Row, Slope, registry
@@ -45,12 +45,12 @@
 
 
 def select_tests(names: Iterable[str]) -> list[Slope | Derived]:
-    """Return the tests of these names (all if none are given) in the registry's order. Raises Faults."""
+    """Return the tests of these names (all if none are given) in the registry's order. Raises InputError."""
     tests = registry()
     known = [test.name for test in tests]
     for name in names:
         if name not in known:
-            raise Faults([f"{name}: there is no such scale test{nearest(name, known)}"])
+            raise InputError([f"{name}: there is no such scale test{suggestion(name, known)}"])
     selected = set(names) or set(known)
     return [test for test in tests if test.name in selected]
 
--- a/merlintally/cli/serving.py
+++ b/merlintally/cli/serving.py
@@ -7,7 +7,7 @@
 
 import click
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.net.configuration import Deployment
 from merlintally.net.dispatcher import Dispatcher
 from merlintally.net.log import Log, Plain, Style
@@ -35,7 +35,7 @@
 def attach(operators: Operators, deployment: Deployment, parts: list[NodeTask]) -> Log:
     """Open the node's record and add its cluster task to `parts`, as the operators' file configures them.
 
-    Returns the log that writes to the record. Raises Faults if the cluster's folder can't be used.
+    Returns the log that writes to the record. Raises InputError if the cluster's folder can't be used.
     """
     from merlintally.cluster.record import Record, RecordingLog, starts_in
 
@@ -50,7 +50,7 @@
     try:
         disk = open_disk(operators.cluster)
     except Spoilt as error:
-        raise Faults([f"cluster.folder: {error}"]) from None
+        raise InputError([f"cluster.folder: {error}"]) from None
     log = RecordingLog(deployment.name, operators.log.lines_per_s)
     if operators.record.file:
         log.record = Record(operators.record.file, deployment.name, disk.start)
@@ -101,7 +101,7 @@
     def reload_operators(log: Log) -> None:
         try:
             set_log(log, read_operators(path).log)
-        except Faults as error:
+        except InputError as error:
             log.say(f"{error}; the previous operators' file stays in force", "operators.faulty")
 
     parts: list[NodeTask] = []
--- a/merlintally/cli/working.py
+++ b/merlintally/cli/working.py
@@ -15,7 +15,7 @@
 from merlintally.cli.cluster import ask, cluster_part, json_option, node_option, operators_option, refuse
 from merlintally.cli.front import print_result
 from merlintally.cluster.work.state import LIMIT, Machine, machines_of
-from merlintally.forms import Faults, load, read
+from merlintally.forms import InputError, load, read
 
 FILE = click.Path(dir_okay=False, path_type=Path)
 POLL_INTERVAL_S = 0.5
@@ -38,7 +38,7 @@
 
 
 def execute(operators: Path, node: str | None, verb: str, args: list[Any], id_: str = "") -> None:
-    """Ask the cluster to execute a command. Raises Faults if it is rejected."""
+    """Ask the cluster to execute a command. Raises InputError if it is rejected."""
     ok, text = ask(cluster_part(operators), node, verb, args, id_)
     if not ok:
         refuse(text)
@@ -66,7 +66,7 @@
     try:
         machines_of(document.machine)
     except ValueError as error:
-        raise Faults([f"{file}: machine.{error}"]) from None
+        raise InputError([f"{file}: machine.{error}"]) from None
     execute(operators, node, "machines", [by, msgspec.to_builtins(document.machine)])
     click.echo(f"{len(document.machine)} machines are in the agreed list")
 
@@ -112,14 +112,14 @@
     """Request work on machines; prints the id of the request."""
     for option, limit in (("--most", most), ("--most-pool", most_pool), ("--most-zone", most_zone)):
         if not LIMIT.fullmatch(limit):
-            raise Faults([f"{option}: {limit!r} is neither a number nor a share like 10%"])
+            raise InputError([f"{option}: {limit!r} is neither a number nor a share like 10%"])
     if bool(names) + bool(pool) + everything != 1:
         raise click.UsageError("requires one of --machine, --pool and --all")
     if pool or everything:
         rows = json.loads(ask(cluster_part(operators), node, "machines?", [])[1])
         names = tuple(row["name"] for row in rows if everything or row["pool"] == pool)
         if not names:
-            raise Faults(
+            raise InputError(
                 [f"--pool: {pool} has no machine" if pool else "--all: the list of machines is empty"]
             )
     id_ = id_ or f"r-{secrets.token_hex(3)}"
@@ -192,12 +192,12 @@
         no_answer = {"state": "", "known": True, "waits": text, "why_not": "", "asked_for": True}
         turn: dict[str, Any] = json.loads(text) if ok else no_answer
         if not turn["known"]:
-            raise Faults([f"{machine}: there is no such machine"])
+            raise InputError([f"{machine}: there is no such machine"])
         if turn["state"] == "out":
             click.echo(f"{machine} is out, turn {turn['number']}")
             return 0
         if not turn["state"] and not turn["asked_for"]:
-            raise Faults([f"{machine}: no request for work includes it"])
+            raise InputError([f"{machine}: no request for work includes it"])
         reason = turn["waits"] or turn["why_not"] or "waiting for its turn"
         if reason != last_reason:
             click.echo(f"{machine}: {turn['state'] or 'waits'}: {reason}", err=True)
@@ -237,7 +237,7 @@
     rows = json.loads(ask(part, node, "machines?", [])[1])
     names = [row["name"] for row in rows if pool in (None, row["pool"])]
     if not names:
-        raise Faults([f"--pool: {pool} has no machine" if pool else "the list of machines is empty"])
+        raise InputError([f"--pool: {pool} has no machine" if pool else "the list of machines is empty"])
     id_ = f"roll-{reason.replace(' ', '-')}"
     known_ids = {request["id"] for request in status_of(operators, node)["requests"]}
     if id_ not in known_ids:
@@ -328,7 +328,7 @@
         last_start = json.loads(ask(cluster_part(operators), node, "starts?", [edge])[1])
         start = int(last_start)
         if not start:
-            raise Faults(
+            raise InputError(
                 [f"{edge}: the cluster has received nothing from a node of this name; specify its --start"]
             )
     execute(operators, node, "gone", [edge, start, by, reason])
--- a/merlintally/forms.py
+++ b/merlintally/forms.py
@@ -19,7 +19,7 @@
 T = TypeVar("T", bound=msgspec.Struct)
 
 
-class Faults(Exception):
+class InputError(Exception):
     """Invalid input: a document or an argument. `lines` has one line per error, starting with its key."""
 
     def __init__(self, lines: list[str]) -> None:
@@ -42,10 +42,10 @@
     return None
 
 
-def nearest(word: str, known: list[str]) -> str:
+def suggestion(word: str, known: list[str]) -> str:
     """Return a suggestion of the known word closest to `word`, or an empty string.
 
-    >>> nearest("fromat", ["format", "lines"]), nearest("zzz", ["format"])
+    >>> suggestion("fromat", ["format", "lines"]), suggestion("zzz", ["format"])
     (' (did you mean format?)', '')
     """
     close = difflib.get_close_matches(word, known, 1)
@@ -67,7 +67,7 @@
     for key, value in table.items():
         key_path = f"{path}.{key}" if path else str(key)
         if key not in definitions:
-            yield f"{key_path}: there is no such key{nearest(str(key), list(definitions))}"
+            yield f"{key_path}: there is no such key{suggestion(str(key), list(definitions))}"
             continue
         inner, item_struct = _struct_of(definitions[key].type), _item_struct_of(definitions[key].type)
         if inner is not None:
@@ -103,29 +103,29 @@
 
 
 def read(document: object, struct: type[T]) -> T:
-    """Convert a document to `struct`. Raises Faults with one line for each error."""
+    """Convert a document to `struct`. Raises InputError with one line for each error."""
     info = inspect.type_info(struct)
     assert isinstance(info, inspect.StructType)
     if lines := list(_table_errors(document, info, "")):
-        raise Faults(lines)
+        raise InputError(lines)
     converted = msgspec.convert(document, struct)
     if lines := list(_cross_key_errors(converted, "")):
-        raise Faults(lines)
+        raise InputError(lines)
     return converted
 
 
 def load(path: Path) -> dict[str, Any]:
-    """Load a TOML file as a table. Raises Faults that name the file."""
+    """Load a TOML file as a table. Raises InputError that names the file."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise Faults([f"{path}: can't be read: {error.strerror}"]) from None
+        raise InputError([f"{path}: can't be read: {error.strerror}"]) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise Faults([f"{path}: is not valid TOML: {error}"]) from None
+        raise InputError([f"{path}: is not valid TOML: {error}"]) from None
 
 
 def read_file(path: Path, struct: type[T]) -> T:
-    """Load a TOML file and convert it to `struct`. Raises Faults."""
+    """Load a TOML file and convert it to `struct`. Raises InputError."""
     return read(load(path), struct)
 
 
--- a/merlintally/lab/builds/loading.py
+++ b/merlintally/lab/builds/loading.py
@@ -13,7 +13,7 @@
 from types import ModuleType
 from typing import Any
 
-from merlintally.forms import Faults, nearest
+from merlintally.forms import InputError, suggestion
 from merlintally.lab.builds.base import Build
 from merlintally.lab.builds.baselines import BASELINES
 from merlintally.lab.builds.earlier_names import add_aliases
@@ -67,7 +67,7 @@
 
 def build(name: str) -> Build:
     """`here`; `git:REVISION`; the path of another choice.py, or of a folder that holds one beside its
-    modules; or a baseline. Faults if there is no such build."""
+    modules; or a baseline. InputError if there is no such build."""
     own = PACKAGE
     if name == "here":
         text = (own / "choice.py").read_text(encoding="utf-8")
@@ -77,7 +77,7 @@
     if name.startswith("git:"):
         revision = _git("rev-parse", "--verify", "--quiet", f"{name[4:]}^{{commit}}")
         if revision is None or _git("cat-file", "-e", f"{revision.strip()}:merlintally/choice.py") is None:
-            raise Faults([f"{name}: no such revision, or it has no merlintally/choice.py"])
+            raise InputError([f"{name}: no such revision, or it has no merlintally/choice.py"])
         return _loaded(name, name, lambda path: _git("show", f"{revision.strip()}:merlintally/{path}"))
     path = Path(name)
     if path.is_dir() and (path / "choice.py").is_file():
@@ -86,9 +86,9 @@
         return _loaded(
             name, str(path.resolve()), lambda part: _text(path if part == "choice.py" else own / part)
         )
-    raise Faults(
+    raise InputError(
         [
-            f"{name}: there is no such build{nearest(name, ['here', *BASELINES])}; "
+            f"{name}: there is no such build{suggestion(name, ['here', *BASELINES])}; "
             f"here, git:REVISION, a path, or one of {', '.join(BASELINES)}"
         ]
     )
--- a/merlintally/lab/faults/check.py
+++ b/merlintally/lab/faults/check.py
@@ -12,18 +12,18 @@
 from pathlib import Path
 from typing import Any
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 
 Row = dict[str, Any]
 MOST = 20  # broken promises of a kind that are told
 
 
 def rows_of(folder: Path) -> list[Row]:
-    """All rows by time, each with the line it stands on; Faults, naming file and line, for one that can't be
+    """All rows by time, each with the line it stands on; InputError names file and line of one that can't be
     read. A last line that was not whole when its process ended is left out."""
     files = sorted(folder.glob("*.jsonl"))
     if not files:
-        raise Faults([f"{folder}: holds no records (*.jsonl)"])
+        raise InputError([f"{folder}: holds no records (*.jsonl)"])
     found: list[Row] = []
     for path in files:
         lines = path.read_text(encoding="utf-8", errors="replace").splitlines(keepends=True)
@@ -35,7 +35,7 @@
             except (ValueError, KeyError) as wrong:
                 if number == len(lines) and not line.endswith("\n"):
                     continue
-                raise Faults([f"{path.name}:{number}: {wrong}"]) from None
+                raise InputError([f"{path.name}:{number}: {wrong}"]) from None
             row["line"] = f"{path.name}:{number}: {line.strip()}"
             found.append(row)
     return sorted(found, key=lambda one: float(one["at"]))
--- a/merlintally/lab/faults/play.py
+++ b/merlintally/lab/faults/play.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from merlintally.cluster.disk import record_of
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.faults.check import check, rows_of
 from merlintally.lab.faults.links import KINDS, Net, state_of
 from merlintally.lab.faults.scenario import FaultForm, Scenario
@@ -563,7 +563,7 @@
     """Play it, its records in `folder`; gives what the shape says: broken, finished, requests, faults,
     worst. `shim_plan`: faults within the node processes (merlintally/lab/soak/shims.py)."""
     if folder.exists() and any(folder.iterdir()):
-        raise Faults([f"{folder}: is not empty"])
+        raise InputError([f"{folder}: is not empty"])
     folder.mkdir(parents=True, exist_ok=True)
 
     async def all_of_it() -> FaultLive:
--- a/merlintally/lab/faults/scenario.py
+++ b/merlintally/lab/faults/scenario.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, Struct
 
-from merlintally.forms import Faults, nearest, read_file
+from merlintally.forms import InputError, read_file, suggestion
 from merlintally.lab.model.days import Day, read_day
 
 LinkKind = Literal[
@@ -98,7 +98,10 @@
             for key, name in (("of", fault.of), ("to", fault.to)):
                 if name not in parties:
                     wrong.append(
-                        (f"fault.{at}.{key}", f"there is no party {name!r}{nearest(name, sorted(parties))}")
+                        (
+                            f"fault.{at}.{key}",
+                            f"there is no party {name!r}{suggestion(name, sorted(parties))}",
+                        )
                     )
             if fault.kind in PROCESS_KINDS and fault.of in ("counter", "discovery", "notes"):
                 wrong.append((f"fault.{at}.of", f"{fault.of} is no process of the program"))
@@ -149,5 +152,7 @@
             Path(str(resources.files("merlintally.lab.faults") / "scenarios" / f"{name}.toml")), Scenario
         )
     if not Path(name).is_file():
-        raise Faults([f"{name}: there is no such scenario{nearest(name, shipped())}, and no such file"])
+        raise InputError(
+            [f"{name}: there is no such scenario{suggestion(name, shipped())}, and no such file"]
+        )
     return read_file(Path(name), Scenario)
--- a/merlintally/lab/live/play.py
+++ b/merlintally/lab/live/play.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.builds.loading import build
 from merlintally.lab.live.emulator import HOST, Serve
 from merlintally.lab.live.processes import RealNode, lines_of
@@ -124,7 +124,7 @@
             for node in self.nodes:
                 node.start()
             if not all(await asyncio.gather(*(node.ready() for node in self.nodes))):
-                raise Faults(["a node did not answer PING in time", *lines_of(self.folder, 3)])
+                raise InputError(["a node did not answer PING in time", *lines_of(self.folder, 3)])
             # the day begins when all are ready
             world.agenda.now = world.started = world.referee.started = self.pump.tick()
             open_day(world)
@@ -155,14 +155,16 @@
 
 
 def play_real(day: Day, seed: int) -> Result:
-    """Play a day round real nodes of the module as it stands; Faults if it is too large or too long."""
+    """Play a day round real nodes of the module as it stands; InputError if it is too large or too long."""
     for name, value, most in (
         ("gateways", day.fleet.gateways, MOST_NODES),
         ("submissions_per_s", day.traffic.submissions_per_s, MOST_PER_S),
         ("length_s", day.length_s, MOST_S),
     ):
         if value > most:
-            raise Faults([f"{name}: {value:g} is more than {most:g}, the most in real time on one machine"])
+            raise InputError(
+                [f"{name}: {value:g} is more than {most:g}, the most in real time on one machine"]
+            )
     began = time.perf_counter()
     with tempfile.TemporaryDirectory(prefix="merlintally-") as folder:
 
--- a/merlintally/lab/live/processes.py
+++ b/merlintally/lab/live/processes.py
@@ -18,7 +18,7 @@
 from merlintally.lab.model.requests import Try
 from merlintally.lab.model.settings import settings_of
 from merlintally.lab.play.front import Node
-from merlintally.load.sending import outcome_of, whole
+from merlintally.load.sending import answer_end, outcome_of
 from merlintally.net.resp import array
 
 READY_S = 10.0  # for a process to answer PING
@@ -214,7 +214,7 @@
             referee.taken(self.name, trying, live.pump.tick())
             writer.write(command)
             held = b""
-            while (length := whole(held)) is None:
+            while (length := answer_end(held)) is None:
                 try:
                     got = await reader.read(65536)
                 except OSError:
--- a/merlintally/lab/model/days.py
+++ b/merlintally/lab/model/days.py
@@ -12,7 +12,7 @@
 
 from msgspec import Meta, Struct, structs
 
-from merlintally.forms import Faults, load, nearest, read
+from merlintally.forms import InputError, load, read, suggestion
 
 Range = tuple[float, float]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -319,7 +319,10 @@
         plans = [one.name for one in self.plan]
         for at, one in enumerate(self.trouble):
             if one.plan and one.plan not in plans:
-                yield f"trouble.{at}.plan", f"{one.plan!r} is no plan of this day{nearest(one.plan, plans)}"
+                yield (
+                    f"trouble.{at}.plan",
+                    f"{one.plan!r} is no plan of this day{suggestion(one.plan, plans)}",
+                )
             if one.at_s >= self.length_s:
                 yield f"trouble.{at}.at_s", "is after the day's end"
             if one.kind.startswith("zone") and one.zone >= self.fleet.zones:
@@ -358,8 +361,8 @@
         return path
     known = shipped()
     if name not in known:
-        raise Faults(
-            [f"{name}: there is no such day{nearest(name, list(known))}; see `merlintally lab list`"]
+        raise InputError(
+            [f"{name}: there is no such day{suggestion(name, list(known))}; see `merlintally lab list`"]
         )
     return known[name]
 
@@ -372,7 +375,7 @@
         beside = path.parent / other
         path = beside if other.endswith(".toml") else path_of(other)
         if path.resolve() in seen:
-            raise Faults([f"{path}: like: a day can't be like itself"])
+            raise InputError([f"{path}: like: a day can't be like itself"])
         seen.append(path.resolve())
         found = merged(load(path), found)
     return found
@@ -392,9 +395,9 @@
 
 
 def read_day(name: str) -> Day:
-    """A shipped day by its name, or a file by its path; Faults if it can't be used."""
+    """A shipped day by its name, or a file by its path; InputError if it can't be used."""
     path = path_of(name)
     try:
         return read(load_day(path), Day)
-    except Faults as wrong:
-        raise Faults([line if str(path) in line else f"{path}: {line}" for line in wrong.lines]) from None
+    except InputError as wrong:
+        raise InputError([line if str(path) in line else f"{path}: {line}" for line in wrong.lines]) from None
--- a/merlintally/lab/play/experiment.py
+++ b/merlintally/lab/play/experiment.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.builds.loading import build
 from merlintally.lab.model.days import Day, read_day
 from merlintally.lab.play.simulation import play
@@ -67,7 +67,7 @@
 ) -> list[Result]:
     """Play what the file does not hold yet; gives all results that were asked for, in their order.
 
-    `ended` is called with each result, or None, and how many are done. Faults if no day ends for `hangs_s`.
+    `ended` is called with each result, or None, and the count done. InputError if no day ends for `hangs_s`.
     """
     file = ResultsFile(path)
     digests = {name: build(name).digest for name in {task.build for task in tasks}}
@@ -88,7 +88,9 @@
                     result = playing.next(hangs_s)
                 except multiprocessing.TimeoutError:
                     pool.terminate()
-                    raise Faults([f"no day has ended for {hangs_s:g} s: what is done is in {path}"]) from None
+                    raise InputError(
+                        [f"no day has ended for {hangs_s:g} s: what is done is in {path}"]
+                    ) from None
                 file.append([result])
                 found[key_of(result)] = result
                 done += 1
--- a/merlintally/lab/scale/capacity.py
+++ b/merlintally/lab/scale/capacity.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct
 
-from merlintally.forms import Faults, read_file
+from merlintally.forms import InputError, read_file
 
 CHECKOUT_FILE = Path(__file__).parents[3] / "deploy" / "capacity.toml"
 
@@ -76,10 +76,10 @@
 
 
 def read_capacity(path: Path | None = None) -> Capacity:
-    """Read and check the file (that of the checkout by default); Faults name the first faulty key."""
+    """Read and check the file (that of the checkout by default); InputError names the first faulty key."""
     where = path if path is not None else CHECKOUT_FILE
     try:
         return read_file(where, Capacity)
-    except Faults as wrong:
+    except InputError as wrong:
         first, *others = wrong.lines
-        raise Faults([first + (f" (and {len(others)} more faults)" if others else "")]) from None
+        raise InputError([first + (f" (and {len(others)} more faults)" if others else "")]) from None
--- a/merlintally/lab/scale/client.py
+++ b/merlintally/lab/scale/client.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.scale.backend import say
 from merlintally.lab.scale.workload import REQUEST_CLASS, SMALLEST_QUOTA, plan_name
 from merlintally.load.profile import Profile
@@ -57,12 +57,12 @@
 
 
 async def await_ready(sender: Sender) -> None:
-    """Wait until the target answers; Faults if it does not in time."""
+    """Wait until the target answers; InputError if it does not in time."""
     ends = anyio.current_time() + READY_S
     while True:
         try:
             return await sender.ping()
-        except Faults:
+        except InputError:
             if anyio.current_time() > ends:
                 raise
             await anyio.sleep(0.05)
@@ -95,7 +95,7 @@
     def note(planned: Planned, outcome: str, elapsed_s: float | None) -> None:
         sent.append(Sent(request_id(planned.command), planned.due, outcome, elapsed_s))
 
-    sender = Sender(task.host, task.port, task.profile, told=note)
+    sender = Sender(task.host, task.port, task.profile, on_outcome=note)
     await await_ready(sender)
     await make_known(task)
     gc.freeze()
--- a/merlintally/lab/scale/store.py
+++ b/merlintally/lab/scale/store.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.scale.capacity import Capacity
 from merlintally.lab.scale.slope import Row
 
@@ -36,13 +36,13 @@
 
 
 def read_kept(path: Path) -> Kept:
-    """The results in a file, or Faults that name it."""
+    """The results in a file, or InputError that names it."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Kept)
     except OSError as wrong:
-        raise Faults([f"{path}: can't be read: {wrong.strerror}"]) from None
+        raise InputError([f"{path}: can't be read: {wrong.strerror}"]) from None
     except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
-        raise Faults([f"{path}: holds no results of scale tests: {wrong}"]) from None
+        raise InputError([f"{path}: holds no results of scale tests: {wrong}"]) from None
 
 
 def kept_or_new(path: Path, capacity: Capacity, quick: bool) -> Kept:
--- a/merlintally/lab/soak/clients.py
+++ b/merlintally/lab/soak/clients.py
@@ -13,7 +13,7 @@
 from merlintally.lab.soak.nodes import SoakNode
 from merlintally.lab.soak.records import Ending, Records, SentRequest
 from merlintally.lab.soak.settings import CLASSES, DEADLINE_S
-from merlintally.load.sending import outcome_of, whole
+from merlintally.load.sending import answer_end, outcome_of
 from merlintally.net.resp import array
 
 ENDINGS = {"delivered": Ending.SERVED, "bounced": Ending.REFUSED}
@@ -135,7 +135,7 @@
         held = b""
         for one in requests:
             ends = max(each.deadline for each in requests) + WAIT_S
-            while (length := whole(held)) is None:
+            while (length := answer_end(held)) is None:
                 try:
                     got = await asyncio.wait_for(reader.read(1 << 16), max(0.01, ends - time.monotonic()))
                 except TimeoutError:
--- a/merlintally/lab/tell/follow.py
+++ b/merlintally/lab/tell/follow.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 
 PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 STEPS = ("submission.", "execution.")
@@ -56,18 +56,18 @@
 
 
 def follow(paths: list[Path], number: str) -> list[str]:
-    """Lines of all files about one submission, by time. Faults if a file can't be read or none knows it."""
+    """Lines of all files about one submission, by time. InputError if a file can't be read or none has it."""
     steps: list[tuple[str, str]] = []
     for path in paths:
         try:
             lines = path.read_text(encoding="utf-8", errors="replace").splitlines()
         except OSError as wrong:
-            raise Faults([f"{path}: can't be read: {wrong.strerror}"]) from None
+            raise InputError([f"{path}: can't be read: {wrong.strerror}"]) from None
         is_record = bool(lines) and re.match(r"[0-9]+\.[0-9]{6} \w", lines[0]) is not None
         if is_record:
             steps += [(f"{at:.6f}", text) for at, text in record_steps(lines, number)]
         else:
             steps += log_steps(lines, number)
     if not steps:
-        raise Faults([f"{number}: none of the files tells of this submission"])
+        raise InputError([f"{number}: none of the files tells of this submission"])
     return [f"{at} {text}" for at, text in sorted(steps, key=lambda step: step[0])]
--- a/merlintally/lab/tell/results.py
+++ b/merlintally/lab/tell/results.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 
 RESULT_VERSION = 1
 Key = tuple[str, int, int, str, str]
@@ -58,13 +58,13 @@
         self.path = path
 
     def read(self) -> list[Result]:
-        """All whole results; Faults name a line that is spoilt or of another version."""
+        """All whole results; InputError names a line that is spoilt or of another version."""
         try:
             data = self.path.read_bytes()
         except FileNotFoundError:
             return []
         except OSError as wrong:
-            raise Faults([f"{self.path}: can't be read: {wrong.strerror}"]) from None
+            raise InputError([f"{self.path}: can't be read: {wrong.strerror}"]) from None
         lines = data.split(b"\n")
         whole, cut_off = lines[:-1], lines[-1]
         found = []
@@ -72,9 +72,11 @@
             try:
                 one = msgspec.json.decode(line, type=Result)
             except msgspec.MsgspecError as wrong:
-                raise Faults([f"{self.path}: line {number} is no result: {wrong}"]) from None
+                raise InputError([f"{self.path}: line {number} is no result: {wrong}"]) from None
             if one.version != RESULT_VERSION:
-                raise Faults([f"{self.path}: line {number} has version {one.version}, not {RESULT_VERSION}"])
+                raise InputError(
+                    [f"{self.path}: line {number} has version {one.version}, not {RESULT_VERSION}"]
+                )
             found.append(one)
         if cut_off:
             self.cut(len(data) - len(cut_off))
--- a/merlintally/load/profile.py
+++ b/merlintally/load/profile.py
@@ -59,7 +59,7 @@
 
 
 def read_profile(path: str | Path | None) -> Profile:
-    """Read and validate a profile; by default the one for example/config.json. Raises Faults."""
+    """Read and validate a profile; by default the one for example/config.json. Raises InputError."""
     if path is None:
         path = Path(str(resources.files("merlintally.load") / "example.toml"))
     return read_file(Path(path), Profile)
--- a/merlintally/load/sending.py
+++ b/merlintally/load/sending.py
@@ -11,7 +11,7 @@
 from anyio.abc import ByteStream
 from hdrh.histogram import HdrHistogram
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.load.profile import Profile
 from merlintally.load.schedule import Planned, schedule
 from merlintally.net.resp import array
@@ -79,13 +79,13 @@
 
 
 def require_loopback(host: str, allow_remote: bool) -> None:
-    """Raise Faults if `host` is not a loopback address, unless `allow_remote` is set."""
+    """Raise InputError if `host` is not a loopback address, unless `allow_remote` is set."""
     try:
         local = ipaddress.ip_address(host).is_loopback
     except ValueError:
         local = host == "localhost"
     if not local and not allow_remote:
-        raise Faults([f"ADDRESS: {host} is not a loopback address; use --beyond-loopback to allow it"])
+        raise InputError([f"ADDRESS: {host} is not a loopback address; use --beyond-loopback to allow it"])
 
 
 async def read_answer(stream: ByteStream, buffer: bytes) -> tuple[bytes, bytes]:
@@ -93,16 +93,16 @@
 
     `buffer` holds bytes already received. Raises EndOfStream if the connection closes first."""
     while True:
-        length = whole(buffer)
+        length = answer_end(buffer)
         if length is not None:
             return buffer[:length], buffer[length:]
         buffer += await stream.receive(65536)
 
 
-def whole(buffer: bytes, start: int = 0) -> int | None:
+def answer_end(buffer: bytes, start: int = 0) -> int | None:
     """Return the end of the answer that begins at `start`, or None if it is incomplete.
 
-    >>> whole(b"+PONG\\r\\n"), whole(b"$3\\r\\nab"), whole(b"*2\\r\\n$1\\r\\na\\r\\n$-1\\r\\n")
+    >>> answer_end(b"+PONG\\r\\n"), answer_end(b"$3\\r\\nab"), answer_end(b"*2\\r\\n$1\\r\\na\\r\\n$-1\\r\\n")
     (7, None, 16)
     """
     line_end = buffer.find(b"\r\n", start)
@@ -114,7 +114,7 @@
         return end if end <= len(buffer) else None
     if type_byte == b"*":
         for _ in range(max(0, int(length))):
-            item_end = whole(buffer, end)
+            item_end = answer_end(buffer, end)
             if item_end is None:
                 return None
             end = item_end
@@ -146,24 +146,24 @@
         port: int,
         profile: Profile,
         progress: Callable[[int], None] | None = None,
-        told: Callable[[Planned, str, float | None], None] | None = None,
+        on_outcome: Callable[[Planned, str, float | None], None] | None = None,
     ) -> None:
-        """`told` is called with each submission, its outcome and, if sent, the seconds from sending."""
+        """`on_outcome` is called with each submission, its outcome and, if sent, the seconds from sending."""
         self.host, self.port, self.profile, self.progress = host, port, profile, progress
-        self.told = told
+        self.on_outcome = on_outcome
         self.tallies = Tallies()
 
     async def ping(self) -> None:
-        """Raise Faults unless a node answers PING at the address."""
+        """Raise InputError unless a node answers PING at the address."""
         try:
             with anyio.fail_after(3.0):
                 async with await anyio.connect_tcp(self.host, self.port) as stream:
                     await stream.send(array(b"PING"))
                     answer, _ = await read_answer(stream, b"")
         except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError):
-            raise Faults([f"ADDRESS: no node answers at {self.host}:{self.port}"]) from None
+            raise InputError([f"ADDRESS: no node answers at {self.host}:{self.port}"]) from None
         if answer != b"+PONG\r\n":
-            raise Faults(
+            raise InputError(
                 [f"ADDRESS: {self.host}:{self.port} answers PING with {answer[:40]!r}, so it is not a node"]
             )
 
@@ -227,7 +227,7 @@
         now = time.monotonic()
         service_s = now - sent_at if sent_at else None
         self.tallies.add(planned.lane, outcome, now - self.started_at - planned.due, service_s)
-        if self.told is not None:
-            self.told(planned, outcome, service_s)
+        if self.on_outcome is not None:
+            self.on_outcome(planned, outcome, service_s)
         if self.progress is not None:
             self.progress(1)
--- a/merlintally/operators/file.py
+++ b/merlintally/operators/file.py
@@ -226,5 +226,5 @@
 
 
 def read_operators(path: str | Path) -> Operators:
-    """Read and validate the file. Raises `merlintally.forms.Faults` with one line for each error."""
+    """Read and validate the file. Raises `merlintally.forms.InputError` with one line for each error."""
     return read_file(Path(path), Operators)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -23,7 +23,7 @@
 from merlintally.cluster.copies import Terms as CopyTerms
 from merlintally.cluster.core import FORMS, Cluster, Me, Plan
 from merlintally.cluster.links import FORM, MOST_HELLO, Bad, Codec, Links, ask, call_of, read_frame
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.faults.check import check
 from merlintally.lab.faults.play import play
 from merlintally.lab.faults.scenario import FaultForm, Scenario, read_scenario, shipped
@@ -219,15 +219,15 @@
 def test_a_faulty_section_is_told_by_its_key(tmp_path: Path, change: tuple[str, str], why: str) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(GOOD.format(folder=tmp_path / "state").replace(*change))
-    with pytest.raises(Faults) as wrong:
+    with pytest.raises(InputError) as wrong:
         read_operators(path)
     assert why in wrong.value.lines
 
 
 def run(*args: str) -> tuple[int, str]:
-    """The command line, and what it prints; Faults become exit code 2 with their lines, as in `main`."""
+    """The command line, and what it prints; InputError becomes exit code 2 with their lines, as in `main`."""
     found = CliRunner().invoke(front, args, standalone_mode=False)
-    if isinstance(found.exception, Faults):
+    if isinstance(found.exception, InputError):
         return 2, "\n".join(found.exception.lines)
     return found.return_value if isinstance(found.return_value, int) else found.exit_code, found.output
 
@@ -382,7 +382,7 @@
         file.write('{"at": 2.0, "ev')
     assert check(folder)["rows"] == 1
     (folder / "a.jsonl").write_text("nonsense\n")
-    with pytest.raises(Faults, match="a.jsonl:1"):
+    with pytest.raises(InputError, match="a.jsonl:1"):
         check(folder)
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -16,7 +16,7 @@
 from helpers import Scene, Standin, known, play, said, told
 
 from merlintally.cli.front import front, main
-from merlintally.forms import Faults, explain, read
+from merlintally.forms import InputError, explain, read
 from merlintally.lab.model.days import Day, read_day
 from merlintally.load.profile import Profile
 from merlintally.net.log import Log
@@ -39,7 +39,7 @@
 
 
 def errors_of(document: object, struct: type = Operators) -> list[str]:
-    with pytest.raises(Faults) as raised:
+    with pytest.raises(InputError) as raised:
         read(document, struct)
     return raised.value.lines
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,7 @@
 import pytest
 from msgspec import structs
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.builds.loading import build
 from merlintally.lab.judge.account import Watch
 from merlintally.lab.model.agenda import Agenda, chance
@@ -239,7 +239,7 @@
 def test_a_day_like_itself_or_like_none_is_an_error(tmp_path: Path) -> None:
     for text, wrong in (('like = "a.toml"', "can't be like itself"), ('like = "clam"', "did you mean calm?")):
         (tmp_path / "a.toml").write_text(text)
-        with pytest.raises(Faults, match=wrong.replace("?", r"\?")):
+        with pytest.raises(InputError, match=wrong.replace("?", r"\?")):
             load_day(tmp_path / "a.toml")
 
 
@@ -296,7 +296,7 @@
     assert other.choice.OTHER == 1 and other.digest != build("here").digest
     assert play(SMALL, 1, str(tmp_path / "choice.py")).record_digest == play(SMALL, 1).record_digest
     for name, wrong in (("orcale", "did you mean oracle"), ("git:nowhere", "no such revision")):
-        with pytest.raises(Faults, match=wrong):
+        with pytest.raises(InputError, match=wrong):
             build(name)
 
 
@@ -327,7 +327,7 @@
         (lines[1].replace(b'"version":1', b'"version":9'), "line 2 has version 9"),
     ):
         file.path.write_bytes(b"\n".join([lines[0], spoilt, lines[0]]) + b"\n")
-        with pytest.raises(Faults, match=wrong):
+        with pytest.raises(InputError, match=wrong):
             file.read()
 
 
@@ -342,7 +342,7 @@
     import merlintally.lab.play.experiment as experiment
 
     monkeypatch.setattr(experiment, "one", hangs)
-    with pytest.raises(Faults, match="no day has ended for 2 s"):
+    with pytest.raises(InputError, match="no day has ended for 2 s"):
         run([Wanted("calm", 1, 4, "even", 2.0)], tmp_path / "run.jsonl", 1, hangs_s=2.0)
 
 
@@ -411,7 +411,7 @@
 def test_a_day_too_large_for_real_time_is_refused() -> None:
     from merlintally.lab.live.play import play_real
 
-    with pytest.raises(Faults, match="gateways"):
+    with pytest.raises(InputError, match="gateways"):
         play_real(read_day("calm").at_size(100), 1)
 
 
@@ -459,7 +459,7 @@
     number = next(row[3] for row in rows if row[1] == "taken" and row[4] == key)
     found = follow([tmp_path / "record"], number)
     assert sum(" taken " in line for line in found) == taken[key] and " asked " in found[0]
-    with pytest.raises(Faults, match="none of the files"):
+    with pytest.raises(InputError, match="none of the files"):
         follow([tmp_path / "record"], "999999")
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import Scene, Standin, known, play, told
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.load.profile import CustomerLoad, LaneLoad, Profile, read_profile
 from merlintally.load.schedule import schedule
 from merlintally.load.sending import Sender, Tallies, require_loopback
@@ -39,13 +39,13 @@
     """Send a load to a stand-in node; returns the tallies and the time taken, seconds."""
     node = Standin(answer_to)
 
-    async def send_load() -> Tallies | Faults:
-        result: Tallies | Faults
+    async def send_load() -> Tallies | InputError:
+        result: Tallies | InputError
         async with anyio.create_task_group() as group:
             group.start_soon(node.run)
             try:
                 result = await Sender(*node.address, profile).run()
-            except Faults as error:
+            except InputError as error:
                 result = error
             group.cancel_scope.cancel()
         return result
@@ -53,7 +53,7 @@
     started_at = time.monotonic()
     outcome = anyio.run(send_load)
     node.sock.close()
-    if isinstance(outcome, Faults):
+    if isinstance(outcome, InputError):
         raise outcome
     return outcome, time.monotonic() - started_at
 
@@ -109,9 +109,9 @@
 
 
 def test_an_address_that_is_remote_or_not_a_node_is_rejected() -> None:
-    with pytest.raises(Faults, match="so it is not a node"):
+    with pytest.raises(InputError, match="so it is not a node"):
         send(SMALL, lambda received: b"-ERR\r\n")
-    with pytest.raises(Faults, match="not a loopback address"):
+    with pytest.raises(InputError, match="not a loopback address"):
         require_loopback("192.0.2.1", False)
     require_loopback("192.0.2.1", True)
     require_loopback("::1", False)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from msgspec import structs
 
 from merlintally.cli.front import front
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.scale import (
     point,
     slopes_connections,
@@ -109,7 +109,7 @@
     assert old in text
     file = tmp_path / "capacity.toml"
     file.write_text(text.replace(old, new))
-    with pytest.raises(Faults) as found:
+    with pytest.raises(InputError) as found:
         read_capacity(file)
     assert len(found.value.lines) == 1
     assert found.value.lines[0].startswith(key)
@@ -263,17 +263,17 @@
     _, out = invoke("report", "--quick", "--markdown")
     (line,) = (line for line in out.splitlines() if line.startswith("| `tiny`"))
     assert "**305**" in line and "335 (**305**)" in line  # both, against 1.1 ms
-    with pytest.raises(Faults, match="did you mean tiny"):
+    with pytest.raises(InputError, match="did you mean tiny"):
         invoke("run", "tinny")
 
 
 def test_a_report_without_results_names_the_file(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     monkeypatch.chdir(tmp_path)
-    with pytest.raises(Faults, match="scale.json"):
+    with pytest.raises(InputError, match="scale.json"):
         invoke("report")
     (tmp_path / "found").mkdir()
     (tmp_path / "found" / "scale.json").write_text('{"rows": 1}')
-    with pytest.raises(Faults, match="no results of scale tests"):
+    with pytest.raises(InputError, match="no results of scale tests"):
         invoke("report")
 
 
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -12,7 +12,7 @@
 import pytest
 from helpers import HI, SERVER, Scene, Standin, gateway, known, listing, said, server, told, until
 
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.schedules.subset_options import all_subsets, classes, loads, moved, names_of, spread
 from merlintally.lab.schedules.subset_room import Case, Play
 from merlintally.lab.schedules.subsets import joined, play
@@ -466,8 +466,8 @@
     path.write_text("")
     assert read_operators(path).subsets.terms() == USUAL
     path.write_text("[subsets]\nsize = 32\nwhole_upto = 9\n")
-    with pytest.raises(Faults, match="whole_up_to"):
+    with pytest.raises(InputError, match="whole_up_to"):
         read_operators(path)
     path.write_text("[subsets]\nsize = 32\n")
-    with pytest.raises(Faults, match="subsets.least: 64 is above size, 32"):
+    with pytest.raises(InputError, match="subsets.least: 64 is above size, 32"):
         read_operators(path)
