--- a/merlintally/lab/builds/loading.py
+++ b/merlintally/lab/builds/loading.py
@@ -13,7 +13,7 @@
 from types import ModuleType
 from typing import Any
 
-from merlintally.forms import Faults, nearest
+from merlintally.forms import InputError, suggestion
 from merlintally.lab.builds.base import Build
 from merlintally.lab.builds.baselines import BASELINES
 from merlintally.lab.builds.earlier_names import add_aliases
@@ -72,7 +72,7 @@
 
 
 def build(name: str) -> Build:
-    """Load a build; Faults if there is none of that name.
+    """Load a build; InputError if there is none of that name.
 
     `name` is `here`, `git:REVISION`, the path of another choice.py or of a folder with one and perhaps other
     modules, or the name of a baseline.
@@ -86,7 +86,7 @@
     if name.startswith("git:"):
         revision = _git("rev-parse", "--verify", "--quiet", f"{name[4:]}^{{commit}}")
         if revision is None or _git("cat-file", "-e", f"{revision.strip()}:merlintally/choice.py") is None:
-            raise Faults([f"{name}: no such revision, or it has no merlintally/choice.py"])
+            raise InputError([f"{name}: no such revision, or it has no merlintally/choice.py"])
         return _load_build(name, name, lambda file: _git("show", f"{revision.strip()}:merlintally/{file}"))
     path = Path(name)
     if path.is_dir() and (path / "choice.py").is_file():
@@ -101,9 +101,9 @@
             str(path.resolve()),
             lambda module: _read_text(path if module == "choice.py" else current / module),
         )
-    raise Faults(
+    raise InputError(
         [
-            f"{name}: there is no such build{nearest(name, ['here', *BASELINES])}; "
+            f"{name}: there is no such build{suggestion(name, ['here', *BASELINES])}; "
             f"use here, git:REVISION, a path, or one of {', '.join(BASELINES)}"
         ]
     )
--- a/merlintally/lab/model/days.py
+++ b/merlintally/lab/model/days.py
@@ -12,7 +12,7 @@
 
 from msgspec import Meta, Struct, structs
 
-from merlintally.forms import Faults, load, nearest, read
+from merlintally.forms import InputError, load, read, suggestion
 
 Range = tuple[float, float]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
@@ -358,7 +358,7 @@
             if event.plan and event.plan not in plans:
                 yield (
                     f"trouble.{index}.plan",
-                    f"{event.plan!r} is not a plan of this day{nearest(event.plan, plans)}",
+                    f"{event.plan!r} is not a plan of this day{suggestion(event.plan, plans)}",
                 )
             if event.at_s >= self.length_s:
                 yield f"trouble.{index}.at_s", "must be before the day's end (length_s)"
@@ -395,13 +395,15 @@
 
 
 def path_of(name: str) -> Path:
-    """The file of a shipped day, or `name` itself if it names a .toml file; Faults if there is none."""
+    """The file of a shipped day, or `name` itself if it names a .toml file; InputError if there is none."""
     path = Path(name)
     if path.suffix == ".toml":
         return path
     days = shipped()
     if name not in days:
-        raise Faults([f"{name}: there is no such day{nearest(name, list(days))}; see `merlintally lab list`"])
+        raise InputError(
+            [f"{name}: there is no such day{suggestion(name, list(days))}; see `merlintally lab list`"]
+        )
     return days[name]
 
 
@@ -416,7 +418,7 @@
         sibling = path.parent / base
         path = sibling if base.endswith(".toml") else path_of(base)
         if path.resolve() in visited:
-            raise Faults([f"{path}: like: a day can't be like itself"])
+            raise InputError([f"{path}: like: a day can't be like itself"])
         visited.append(path.resolve())
         table = merged(load(path), table)
     return table
@@ -436,9 +438,9 @@
 
 
 def read_day(name: str) -> Day:
-    """A shipped day by its name, or a .toml file by its path; Faults if it is missing or invalid."""
+    """A shipped day by its name, or a .toml file by its path; InputError if it is missing or invalid."""
     path = path_of(name)
     try:
         return read(load_day(path), Day)
-    except Faults as error:
-        raise Faults([line if str(path) in line else f"{path}: {line}" for line in error.lines]) from None
+    except InputError as error:
+        raise InputError([line if str(path) in line else f"{path}: {line}" for line in error.lines]) from None
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -32,7 +32,7 @@
     read_frame,
     request,
 )
-from merlintally.forms import Faults
+from merlintally.forms import InputError
 from merlintally.lab.faults.check import check
 from merlintally.lab.faults.play import play
 from merlintally.lab.faults.scenario import FaultForm, Scenario, read_scenario, shipped
@@ -228,15 +228,15 @@
 def test_an_error_in_the_section_names_its_key(tmp_path: Path, change: tuple[str, str], why: str) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(GOOD.format(folder=tmp_path / "state").replace(*change))
-    with pytest.raises(Faults) as wrong:
+    with pytest.raises(InputError) as wrong:
         read_operators(path)
     assert why in wrong.value.lines
 
 
 def run(*args: str) -> tuple[int, str]:
-    """Run the command line; returns its exit code and output. Faults become exit code 2, as in `main`."""
+    """Run the command line; return its exit code and output. InputError gives exit code 2, as in `main`."""
     found = CliRunner().invoke(front, args, standalone_mode=False)
-    if isinstance(found.exception, Faults):
+    if isinstance(found.exception, InputError):
         return 2, "\n".join(found.exception.lines)
     return found.return_value if isinstance(found.return_value, int) else found.exit_code, found.output
 
@@ -394,7 +394,7 @@
         file.write('{"at": 2.0, "ev')
     assert check(folder)["rows"] == 1
     (folder / "a.jsonl").write_text("nonsense\n")
-    with pytest.raises(Faults, match="a.jsonl:1"):
+    with pytest.raises(InputError, match="a.jsonl:1"):
         check(folder)
 
 
