--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -104,7 +104,7 @@
     listener = small_buffers(socket.create_server(("127.0.0.1", 0)))
 
     class EarlyAnswer(Standin):
-        async def _speak(self, sock: socket.socket) -> None:
+        async def _serve(self, sock: socket.socket) -> None:
             with sock:
                 await anyio.sleep(0.05)
                 sock.sendall(b"-BUSY\r\n")
@@ -757,7 +757,7 @@
     complete_at = list[float]()
 
     class LateReader(Standin):
-        async def _speak(self, sock: socket.socket) -> None:
+        async def _serve(self, sock: socket.socket) -> None:
             with sock, suppress(OSError):
                 await anyio.sleep(0.4)
                 sock.setblocking(True)
